--- a/internal/timekeeper/timekeeper.go
+++ b/internal/timekeeper/timekeeper.go
@@ -1,5 +1,5 @@
-// Package timekeeper tells the time for leases. Go's monotonic clock stands still while
-// a host is suspended, so that a lease would seem to last longer than it does.
+// Package timekeeper provides the clock for leases. It counts the time during which the host
+// is suspended. Go's monotonic clock does not, so a lease would appear valid after its end.
 package timekeeper
 
 import (
@@ -8,24 +8,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// base is the time of day when the process started, and start the reading of the clock
-// that counts suspended time.
+// startWallTime is the time of day at the start of the process, and startSinceBoot the time
+// since boot, including suspended time, at the same moment.
 var (
-	base  = time.Now().Round(0)
-	start = sinceBoot()
+	startWallTime  = time.Now().Round(0)
+	startSinceBoot = sinceBoot()
 )
 
+// sinceBoot returns the time since boot, including suspended time.
 func sinceBoot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		return time.Since(base) // the platform has no such clock: suspension is not seen
+		return time.Since(startWallTime) // without this clock suspended time is not counted
 	}
 	return time.Duration(t.Nano())
 }
 
-// Now returns a time that never steps back and goes on while the host is suspended. It
-// starts as the time of day.
-func Now() time.Time { return base.Add(sinceBoot() - start) }
+// Now returns the time of a clock that never steps back and advances while the host is
+// suspended. At the start of the process it equals the time of day.
+func Now() time.Time { return startWallTime.Add(sinceBoot() - startSinceBoot) }
 
 // WallOffset returns how far the time of day is ahead of Now.
 func WallOffset() time.Duration { return time.Now().Round(0).Sub(Now()) }
