--- a/internal/coordinator/accept.go
+++ b/internal/coordinator/accept.go
@@ -11,20 +11,19 @@
 )
 
 const (
-	// submitTries bounds the transactions of one submission; a changed term makes a
-	// second one necessary.
-	submitTries = 4
-	// retryAfter is when a refused caller should come back: a store that is over its
-	// rate or restarting is usually back by then.
-	retryAfter = time.Second
+	// maxTransactionAttempts bounds the transactions of one submission or cancel request.
+	// A submission is repeated if the term has changed, a cancel request if the job has.
+	maxTransactionAttempts = 4
+	// defaultRetryAfter is how long a refused caller should wait before it retries. A store
+	// that limits the request rate or restarts usually serves requests again by then.
+	defaultRetryAfter = time.Second
 )
 
-// Submit implements Jobs. The job is stored by whichever host the caller reaches; the
-// leader only starts its tasks.
+// Submit implements Jobs. Any host can store a job; the leader then starts its tasks.
 func (c *Coordinator) Submit(ctx context.Context, j orchestrator.Job) Answer {
 	begin := time.Now()
 	a := c.submit(ctx, j)
-	c.metrics.request("submit", j.Policy.Queue, string(a.Outcome), time.Since(begin))
+	c.metrics.observeRequest("submit", j.Policy.Queue, string(a.Outcome), time.Since(begin))
 	c.log.Info("Submit", "Job", j.ID, "Queue", j.Policy.Queue, "Outcome", string(a.Outcome), "Reason", a.Reason,
 		"Took", time.Since(begin).Round(time.Millisecond).String(), "Version", c.configVersion())
 	return a
@@ -39,10 +38,10 @@
 	if !known {
 		var err error
 		if t, err = c.readTerm(ctx); err != nil {
-			return refusal(err)
+			return unavailableAnswer(err)
 		}
 	}
-	for range submitTries {
+	for range maxTransactionAttempts {
 		j.Epoch = t.Revision
 		value, err := orchestrator.EncodeJob(j)
 		if err != nil {
@@ -53,30 +52,30 @@
 			Puts:       []storer.Entry{{Key: prefixJob + j.ID, Value: value}},
 		})
 		if err == nil {
-			c.tell(notice{Epoch: t.Revision, Job: &j, Revision: revision})
+			c.notifyLeader(notice{Epoch: t.Revision, Job: &j, Revision: revision})
 			return Answer{Outcome: OutcomeDone}
 		}
 		var conflict *storer.ConflictError
 		if !errors.As(err, &conflict) {
-			return c.resolve(ctx, j.ID, err)
+			return c.resolveSubmission(ctx, j.ID, err)
 		}
 		if conflict.Revision(prefixJob+j.ID) > 0 || conflict.Revision(prefixRecord+j.ID) > 0 {
 			return Answer{Outcome: OutcomeDone, Reason: "it was accepted before"}
 		}
 		if t, err = c.readTerm(ctx); err != nil {
-			return refusal(err)
+			return unavailableAnswer(err)
 		}
 	}
-	return Answer{Outcome: OutcomeUnavailable, Reason: "the leader changed during every try", RetryAfter: retryAfter}
+	return Answer{Outcome: OutcomeUnavailable, Reason: "the leader changed during every try", RetryAfter: defaultRetryAfter}
 }
 
-// resolve answers for a submission whose transaction was not answered with success.
-// If its outcome is unknown, a job that is there now was accepted, but one that is not
-// there may still come.
-func (c *Coordinator) resolve(ctx context.Context, id string, cause error) Answer {
+// resolveSubmission answers a submission whose transaction failed. If the outcome of the
+// transaction is unknown and the job is in the store, it was accepted. If the job is not in
+// the store, the transaction may still be executed later, so the outcome is undecided.
+func (c *Coordinator) resolveSubmission(ctx context.Context, id string, cause error) Answer {
 	var unknown *storer.UnknownOutcomeError
 	if !errors.As(cause, &unknown) {
-		return refusal(cause)
+		return unavailableAnswer(cause)
 	}
 	for _, key := range []string{prefixJob + id, prefixRecord + id} {
 		e, err := c.store.Get(ctx, key)
@@ -87,22 +86,22 @@
 	return Answer{Outcome: OutcomeUndecided, Reason: "the store did not answer: " + cause.Error()}
 }
 
-// refusal is the answer to a request of which the store has done nothing.
-func refusal(cause error) Answer {
-	a := Answer{Outcome: OutcomeUnavailable, Reason: cause.Error(), RetryAfter: retryAfter}
+// unavailableAnswer answers a request that changed nothing in the store.
+func unavailableAnswer(cause error) Answer {
+	a := Answer{Outcome: OutcomeUnavailable, Reason: cause.Error(), RetryAfter: defaultRetryAfter}
 	var limited *storer.RateLimitedError
 	if errors.As(cause, &limited) {
-		a.RetryAfter = max(retryAfter, limited.RetryAfter)
+		a.RetryAfter = max(defaultRetryAfter, limited.RetryAfter)
 	}
 	return a
 }
 
-// State implements Jobs. The leader knows best; without it the store tells whether the
-// job exists and how it ended.
+// State implements Jobs. The leader has the current state. If it does not answer or does
+// not know the job, the state comes from the store, where it may be older.
 func (c *Coordinator) State(ctx context.Context, id string) Answer {
 	begin := time.Now()
 	a := c.state(ctx, id)
-	c.metrics.request("state", "", string(a.Outcome), time.Since(begin))
+	c.metrics.observeRequest("state", "", string(a.Outcome), time.Since(begin))
 	if a.Outcome != OutcomeDone {
 		c.log.Info("State", "Job", id, "Outcome", string(a.Outcome), "Reason", a.Reason)
 	}
@@ -110,32 +109,32 @@
 }
 
 func (c *Coordinator) state(ctx context.Context, id string) Answer {
-	s, err := c.askState(ctx, id)
+	s, err := c.requestState(ctx, id)
 	if err == nil && s.Leading && s.Known {
 		return Answer{Outcome: OutcomeDone, State: s.State}
 	}
 	e, err := c.store.Get(ctx, prefixRecord+id)
 	if err != nil {
-		return refusal(err)
+		return unavailableAnswer(err)
 	}
 	if e.Revision > 0 {
 		r, err := orchestrator.DecodeRecord(e.Value)
 		if err != nil {
-			return refusal(err)
+			return unavailableAnswer(err)
 		}
 		return Answer{Outcome: OutcomeDone, State: r.State}
 	}
 	e, err = c.store.Get(ctx, prefixJob+id)
 	if err != nil {
-		return refusal(err)
+		return unavailableAnswer(err)
 	}
 	if e.Revision > 0 {
 		return Answer{Outcome: OutcomeDone, State: orchestrator.StateQueued}
 	}
-	// A final record takes the job's place: it may have been written between the reads.
+	// The write of a final record deletes the job, possibly between the two reads above.
 	e, err = c.store.Get(ctx, prefixRecord+id)
 	if err != nil {
-		return refusal(err)
+		return unavailableAnswer(err)
 	}
 	if e.Revision > 0 {
 		return Answer{Outcome: OutcomeDone, State: orchestrator.StateRunning}
@@ -143,72 +142,72 @@
 	return Answer{Outcome: OutcomeGone, Reason: "no such job"}
 }
 
-// Cancel implements Jobs. The request to cancel stands in the store before it is
-// acknowledged.
+// Cancel implements Jobs. It stores the cancel request before it answers the caller.
 func (c *Coordinator) Cancel(ctx context.Context, id string) Answer {
 	begin := time.Now()
 	a := c.cancel(ctx, id)
-	c.metrics.request("cancel", "", string(a.Outcome), time.Since(begin))
+	c.metrics.observeRequest("cancel", "", string(a.Outcome), time.Since(begin))
 	c.log.Info("Cancel", "Job", id, "Outcome", string(a.Outcome), "Reason", a.Reason, "Took", time.Since(begin).Round(time.Millisecond).String())
 	return a
 }
 
 func (c *Coordinator) cancel(ctx context.Context, id string) Answer {
-	for range submitTries {
+	for range maxTransactionAttempts {
 		job, err := c.store.Get(ctx, prefixJob+id)
 		if err != nil {
-			return refusal(err)
+			return unavailableAnswer(err)
 		}
 		if job.Revision == 0 {
-			return c.cancelEnded(ctx, id)
+			return c.cancelFinished(ctx, id)
 		}
 		_, err = c.store.Commit(ctx, storer.Transaction{
 			Conditions: []storer.Condition{{Key: prefixJob + id, Revision: job.Revision}},
-			Puts:       []storer.Entry{{Key: prefixCancel + id, Value: []byte(c.process)}},
+			Puts:       []storer.Entry{{Key: prefixCancel + id, Value: []byte(c.processID)}},
 		})
 		var conflict *storer.ConflictError
 		switch {
 		case err == nil:
-			c.tell(notice{Cancel: id})
+			c.notifyLeader(notice{Cancel: id})
 			return Answer{Outcome: OutcomeDone, State: orchestrator.StateCancelled}
 		case !errors.As(err, &conflict):
-			// Repeating the request is harmless, so that the caller may do so.
+			// Cancelling is idempotent, so the caller may repeat the request.
 			return Answer{Outcome: OutcomeUndecided, Reason: err.Error()}
 		}
 	}
-	return Answer{Outcome: OutcomeUnavailable, Reason: "the job changed during every try", RetryAfter: retryAfter}
+	return Answer{Outcome: OutcomeUnavailable, Reason: "the job changed during every try", RetryAfter: defaultRetryAfter}
 }
 
-// cancelEnded answers for a job that is not stored as unfinished.
-func (c *Coordinator) cancelEnded(ctx context.Context, id string) Answer {
+// cancelFinished answers a request to cancel a job that is not among the unfinished jobs.
+func (c *Coordinator) cancelFinished(ctx context.Context, id string) Answer {
 	e, err := c.store.Get(ctx, prefixRecord+id)
 	switch {
 	case err != nil:
-		return refusal(err)
+		return unavailableAnswer(err)
 	case e.Revision > 0:
 		return Answer{Outcome: OutcomeDone, Reason: "it has ended"}
 	}
 	return Answer{Outcome: OutcomeGone, Reason: "no such job"}
 }
 
-// pendingAge is how old a count of pending jobs may be, from the platform's description.
-const pendingAge = 1800 * time.Millisecond
+// maxPendingAge is how old the count of pending jobs may be according to the platform's
+// specification.
+const maxPendingAge = 1800 * time.Millisecond
 
 // Pending implements Jobs.
 func (c *Coordinator) Pending(queue string) (int, bool) {
-	if ld := c.leading(); ld != nil {
+	if ld := c.currentLeadership(); ld != nil {
 		p := ld.pending()
 		return p[queue], p != nil
 	}
-	p := c.lastPending.Load()
-	if p == nil || timekeeper.Now().Sub(p.at) > pendingAge {
+	p := c.leaderPending.Load()
+	if p == nil || timekeeper.Now().Sub(p.at) > maxPendingAge {
 		return 0, false
 	}
 	return p.byQueue[queue], true
 }
 
-// pendingCount is the leader's count of pending jobs.
-type pendingCount struct {
+// pendingCounts is the number of pending jobs that the leader reported at a point in time.
+type pendingCounts struct {
 	byQueue map[string]int
 	at      time.Time
 }
--- a/internal/coordinator/order_test.go
+++ b/internal/coordinator/command_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// Guards against an order that is taken as carried out though the worker has refused it
-// without doing anything: a cancelled task would run on.
-func TestWhichOrdersAreRepeated(t *testing.T) {
+// Guards against a command that counts as executed although the worker refused it without
+// doing anything. After such a stop command a cancelled task would continue to run.
+func TestWhichCommandsAreRepeated(t *testing.T) {
 	for name, c := range map[string]struct {
 		err              error
 		answered, fenced bool
@@ -19,11 +19,11 @@
 		"newer leader":     {&RefusedError{Fenced: true, Reason: "fence"}, true, true},
 		"older run":        {&RefusedError{Reason: "old"}, true, false},
 		"unhealthy worker": {&RefusedError{Undone: true, Reason: "status 503"}, false, false},
-		"other worker":     {&RefusedError{Replaced: true, Reason: "another instance answers"}, false, false},
+		"replaced worker":  {&RefusedError{Replaced: true, Reason: "another instance answers"}, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			answered, fenced := ordered(c.err)
+			answered, fenced := commandResult(c.err)
 			is.Equal(answered, c.answered)
 			is.Equal(fenced, c.fenced)
 		})
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -21,15 +21,17 @@
 )
 
 const (
-	// unreadyAfter is how long the store may be silent before callers should go to
-	// other hosts. The balancer needs two missed checks of a second each on top.
-	unreadyAfter = 1500 * time.Millisecond
-	// leaveWait is how long a leaving host serves on after it is not ready any more, so
-	// that the balancer sees it: two checks, a second apart, and some slack.
-	leaveWait = 2500 * time.Millisecond
+	// maxReadyStoreSilence is how long the store may not have served a call before this
+	// host reports itself as not ready. The load balancer needs two failed checks, a
+	// second apart, before it also stops sending requests.
+	maxReadyStoreSilence = 1500 * time.Millisecond
+	// shutdownGracePeriod is how long a leaving host continues to serve requests after it
+	// reports itself as not ready. It covers two checks of the load balancer, a second
+	// apart, and some slack.
+	shutdownGracePeriod = 2500 * time.Millisecond
 )
 
-// Peers are the outside systems that a Coordinator talks to.
+// Peers are the external dependencies of a Coordinator.
 type Peers struct {
 	Store   storer.Database
 	Workers Workers
@@ -37,70 +39,70 @@
 	Keys    Keys
 }
 
-// Coordinator is one entry host.
+// Coordinator runs one entry host and, while it is elected, the leader.
 type Coordinator struct {
-	settings Settings
-	peers    Peers
-	store    storer.Database // peers.Store, with account of its answers
-	log      *slog.Logger
-	metrics  *metrics
-	process  string // identifies this process in the store and to other hosts
-	jitter   func(time.Duration) time.Duration
+	settings  Settings
+	deps      Peers
+	store     storer.Database // deps.Store, which also reports each call's result to recordStoreResult
+	log       *slog.Logger
+	metrics   *metrics
+	processID string // identifies this process in the store and to other hosts
+	jitter    func(time.Duration) time.Duration
 
-	config  atomic.Pointer[Configuration]
-	leaving atomic.Bool
-	refetch chan struct{} // wakes the reader of the configuration
+	config        atomic.Pointer[Configuration]
+	leaving       atomic.Bool
+	configRefetch chan struct{} // asks syncConfiguration to read the configuration again
 
-	storeSeen   atomic.Int64 // timekeeper time of the last call that the store served, Unix ns
-	storeLost   atomic.Bool
-	lastPending atomic.Pointer[pendingCount]
-	foreign     sync.Map // keys of discovery entries that were refused
+	lastStoreSuccess  atomic.Int64 // timekeeper time of the last served call, Unix ns
+	storeUnavailable  atomic.Bool
+	leaderPending     atomic.Pointer[pendingCounts] // from the leader's last answer to a ping
+	invalidWorkerKeys sync.Map                      // keys of worker entries that could not be decoded; each is logged once
 
-	mu      sync.Mutex // guards the fields below
-	term    term       // as last read
-	known   bool       // term has been read
-	leader  *leader    // nil: this host does not lead
-	clients map[netip.AddrPort]*messenger.Client
-	cleanup []func()
+	mu         sync.Mutex  // guards the fields below
+	term       term        // newest term that this host has read or written
+	termKnown  bool        // false until term is set
+	leadership *leadership // nil while this host is not the leader
+	clients    map[netip.AddrPort]*messenger.Client
+	closeFuncs []func()
 }
 
-// New returns an entry host that is not running yet.
+// New returns an entry host that has not been started.
 func New(s Settings, p Peers, log *slog.Logger) *Coordinator {
-	process := fmt.Sprintf("%s/%x", s.Name, rand.Uint64())
+	processID := fmt.Sprintf("%s/%x", s.Name, rand.Uint64())
 	c := &Coordinator{
-		settings: s, peers: p, log: log, metrics: newMetrics(), process: process,
-		jitter:  func(d time.Duration) time.Duration { return rand.N(d + 1) },
-		refetch: make(chan struct{}, 1),
-		clients: make(map[netip.AddrPort]*messenger.Client),
+		settings: s, deps: p, log: log, metrics: newMetrics(), processID: processID,
+		jitter:        func(d time.Duration) time.Duration { return rand.N(d + 1) },
+		configRefetch: make(chan struct{}, 1),
+		clients:       make(map[netip.AddrPort]*messenger.Client),
 	}
-	c.store = observedStore{Database: p.Store, answered: c.storeAnswered}
+	c.store = observedStore{Database: p.Store, onResult: c.recordStoreResult}
 	return c
 }
 
 var _ Jobs = (*Coordinator)(nil)
 
-// Run serves until ctx ends, and then hands over what it leads.
+// Run serves until ctx is done, then hands over the leadership if this host has it.
 func (c *Coordinator) Run(ctx context.Context) error {
 	l, err := net.Listen("tcp", c.settings.MessageAddress.String())
 	if err != nil {
 		return fmt.Errorf("listen for other entry hosts: %w", err)
 	}
-	_, closeServer := messenger.ServeMethods(l, c.methods(), c.log)
+	_, closeServer := messenger.ServeMethods(l, c.peerMethods(), c.log)
 	defer closeServer()
 	defer c.closeClients()
-	c.log.Info("Start", "Host", c.settings.Name, "FailureDomain", c.settings.FailureDomain, "Process", c.process,
+	c.log.Info("Start", "Host", c.settings.Name, "FailureDomain", c.settings.FailureDomain, "Process", c.processID,
 		"CallerAddress", c.settings.CallerAddress.String(), "MessageAddress", c.settings.MessageAddress.String())
-	group, inner := errgroup.WithContext(context.WithoutCancel(ctx))
-	inner, cancel := context.WithCancel(inner)
+	group, groupCtx := errgroup.WithContext(context.WithoutCancel(ctx))
+	groupCtx, cancel := context.WithCancel(groupCtx)
 	defer cancel()
-	group.Go(func() error { c.followConfiguration(inner); return nil })
-	group.Go(func() error { c.follow(inner); return nil })
-	group.Go(func() error { return c.metrics.serve(inner, c.settings.MetricsAddress) })
+	group.Go(func() error { c.syncConfiguration(groupCtx); return nil })
+	group.Go(func() error { c.monitorLeader(groupCtx); return nil })
+	group.Go(func() error { return c.metrics.serve(groupCtx, c.settings.MetricsAddress) })
 	group.Go(func() error {
 		select {
 		case <-ctx.Done():
-			c.leave(inner)
-		case <-inner.Done():
+			c.shutDown(groupCtx)
+		case <-groupCtx.Done():
 		}
 		cancel()
 		return nil
@@ -113,12 +115,13 @@
 	return err
 }
 
-// leave hands over and lets the balancer and callers go elsewhere.
-func (c *Coordinator) leave(ctx context.Context) {
-	c.log.Info("Leaving", "Host", c.settings.Name, "Reason", "asked to stop")
+// shutDown hands over the leadership and keeps serving until the load balancer has had time
+// to send requests to other hosts.
+func (c *Coordinator) shutDown(ctx context.Context) {
+	c.log.Info("Leaving", "Host", c.settings.Name, "Reason", "shutdown requested")
 	c.leaving.Store(true)
-	deadline := time.Now().Add(min(leaveWait, c.settings.DrainTimeout/2))
-	if ld := c.leading(); ld != nil {
+	deadline := time.Now().Add(min(shutdownGracePeriod, c.settings.DrainTimeout/2))
+	if ld := c.currentLeadership(); ld != nil {
 		ld.handOver(ctx, "")
 	}
 	sleep(ctx, time.Until(deadline))
@@ -133,15 +136,15 @@
 	}
 }
 
-func (c *Coordinator) leading() *leader {
+func (c *Coordinator) currentLeadership() *leadership {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.leader
+	return c.leadership
 }
 
 // Ready implements Jobs.
 func (c *Coordinator) Ready() bool {
-	return !c.leaving.Load() && c.config.Load() != nil && c.storeSilence() < unreadyAfter
+	return !c.leaving.Load() && c.config.Load() != nil && c.timeSinceStoreSuccess() < maxReadyStoreSilence
 }
 
 // Leaving implements Jobs.
@@ -155,36 +158,37 @@
 	return c.config.Load().route(host, path)
 }
 
-// storeSilence returns how long the store has not served a call of this host.
-func (c *Coordinator) storeSilence() time.Duration {
-	return timekeeper.Now().Sub(time.Unix(0, c.storeSeen.Load()))
+// timeSinceStoreSuccess returns the time since the store last served a call of this host.
+func (c *Coordinator) timeSinceStoreSuccess() time.Duration {
+	return timekeeper.Now().Sub(time.Unix(0, c.lastStoreSuccess.Load()))
 }
 
-// storeAnswered keeps account of the store's answers.
-func (c *Coordinator) storeAnswered(err error) {
+// recordStoreResult updates the store's availability from the result of a call. Conflicts
+// count as served calls.
+func (c *Coordinator) recordStoreResult(err error) {
 	var unavailable *storer.UnavailableError
 	var unknown *storer.UnknownOutcomeError
 	if errors.As(err, &unavailable) || errors.As(err, &unknown) {
 		c.metrics.storeFailures.Inc()
-		if !c.storeLost.Swap(true) {
+		if !c.storeUnavailable.Swap(true) {
 			c.log.Warn("StoreLost", "Cause", err.Error())
 		}
 		return
 	}
 	var limited *storer.RateLimitedError
 	if errors.As(err, &limited) {
-		// It proves only that the store is there. One that refuses this host alone would
-		// otherwise leave it ready, and leading, until its leases end.
+		// A rate-limited call does not count as served. Otherwise a host whose calls are all
+		// refused would stay ready, and leader, until the leases of its runs expire.
 		c.metrics.storeFailures.Inc()
 		return
 	}
-	c.storeSeen.Store(timekeeper.Now().UnixNano())
-	if c.storeLost.Swap(false) {
+	c.lastStoreSuccess.Store(timekeeper.Now().UnixNano())
+	if c.storeUnavailable.Swap(false) {
 		c.log.Info("StoreRegained")
 	}
 }
 
-// client returns the connection to another entry host.
+// client returns the client for another entry host and creates it on first use.
 func (c *Coordinator) client(address netip.AddrPort) *messenger.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -193,7 +197,7 @@
 		var clean func()
 		m, clean = messenger.NewClient(address, messenger.Options{DialTimeout: pingTimeout})
 		c.clients[address] = m
-		c.cleanup = append(c.cleanup, clean)
+		c.closeFuncs = append(c.closeFuncs, clean)
 	}
 	return m
 }
@@ -201,55 +205,55 @@
 func (c *Coordinator) closeClients() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, f := range c.cleanup {
+	for _, f := range c.closeFuncs {
 		f()
 	}
-	c.cleanup = nil
+	c.closeFuncs = nil
 }
 
-// followConfiguration keeps the newest configuration in force. Watches go on from the
-// store's revision at the last read: the configuration's own may be older than the
-// history that the store keeps.
-func (c *Coordinator) followConfiguration(ctx context.Context) {
+// syncConfiguration keeps the newest configuration in effect. Each watch starts at the
+// store's revision of the preceding read, because the configuration's own revision may
+// already be compacted.
+func (c *Coordinator) syncConfiguration(ctx context.Context) {
 	for ctx.Err() == nil {
-		entries, revision, err := c.store.List(ctx, c.peers.Keys.Configuration)
+		entries, revision, err := c.store.List(ctx, c.deps.Keys.Configuration)
 		if err != nil {
-			sleep(ctx, configurationRetry)
+			sleep(ctx, configurationRetryDelay)
 			continue
 		}
 		for _, e := range entries {
-			if e.Key == c.peers.Keys.Configuration {
+			if e.Key == c.deps.Keys.Configuration {
 				c.applyConfiguration(e)
 			}
 		}
 		if c.watchConfiguration(ctx, revision) != nil {
-			sleep(ctx, configurationRetry)
+			sleep(ctx, configurationRetryDelay)
 		}
 	}
 }
 
 const (
-	// configurationWait is how long one watch of the configuration lasts. A connection
-	// that went silent is noticed after it, and a lost event made good by the read that
-	// follows, well within the two seconds that a change may take.
-	configurationWait  = 1000 * time.Millisecond
-	configurationRetry = 150 * time.Millisecond
+	// configurationWatchTimeout is how long one watch of the configuration lasts. The read
+	// after it detects a dead connection and finds changes whose events were lost, well
+	// within the two seconds that a change may take to be in effect.
+	configurationWatchTimeout = 1000 * time.Millisecond
+	configurationRetryDelay   = 150 * time.Millisecond
 )
 
-// watchConfiguration watches once, and returns when the configuration should be read
-// again, in case the watch has missed a change.
+// watchConfiguration runs one watch and applies the changes that it reports. It returns
+// when the configuration should be read again, because a watch may miss a change.
 func (c *Coordinator) watchConfiguration(ctx context.Context, revision uint64) error {
 	select {
-	case <-c.refetch:
+	case <-c.configRefetch:
 		return nil
 	default:
 	}
-	es, err := c.store.Watch(ctx, c.peers.Keys.Configuration, revision, configurationWait)
+	es, err := c.store.Watch(ctx, c.deps.Keys.Configuration, revision, configurationWatchTimeout)
 	if err != nil {
 		return err
 	}
 	for _, e := range es.Events {
-		if e.Key == c.peers.Keys.Configuration && !e.Deleted {
+		if e.Key == c.deps.Keys.Configuration && !e.Deleted {
 			c.applyConfiguration(e)
 		}
 	}
@@ -257,31 +261,32 @@
 }
 
 func (c *Coordinator) applyConfiguration(e storer.Entry) {
-	n, err := c.peers.Decoder.Configuration(e.Value)
+	n, err := c.deps.Decoder.Configuration(e.Value)
 	if err != nil {
 		c.log.Error("ConfigurationRefused", "Revision", e.Revision, "Cause", err.Error())
 		return
 	}
 	old := c.config.Load()
 	if old != nil && n.Version <= old.Version {
-		return // versions rise; a delayed answer must not undo a change
+		return // a delayed answer of the store must not bring back an older version
 	}
 	c.config.Store(&n)
 	c.metrics.configVersion.Set(float64(n.Version))
 	c.log.Info("ConfigurationApplied", "Version", n.Version, "Revision", e.Revision, "Queues", len(n.Queues))
 }
 
-// newerConfiguration is told the version that another host has in force.
-func (c *Coordinator) newerConfiguration(version uint64) {
+// refetchOlderConfiguration triggers a read of the configuration if this host's version is
+// older than the given one, which another host has in effect.
+func (c *Coordinator) refetchOlderConfiguration(version uint64) {
 	if old := c.config.Load(); old == nil || old.Version < version {
 		select {
-		case c.refetch <- struct{}{}:
+		case c.configRefetch <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// configVersion returns the version in force, 0 for none.
+// configVersion returns the version of the configuration in effect, or 0 if there is none.
 func (c *Coordinator) configVersion() uint64 {
 	if n := c.config.Load(); n != nil {
 		return n.Version
@@ -289,11 +294,12 @@
 	return 0
 }
 
-// orchestratorSettings returns the parameters of a leadership.
+// orchestratorSettings returns the orchestrator's settings for one term. confirmed is when
+// the election was sent to the store, elected when it was known to be won.
 func (c *Coordinator) orchestratorSettings(epoch uint64, confirmed, elected time.Time) orchestrator.Settings {
 	return orchestrator.Settings{
 		Epoch: epoch, ElectedAt: elected, ConfirmedAt: confirmed,
-		Lease: min(runLease, c.settings.MaxLease), Authority: leaderAuthority, MaxLease: c.settings.MaxLease,
+		Lease: min(runLeaseDuration, c.settings.MaxLease), Authority: leaderLeaseDuration, MaxLease: c.settings.MaxLease,
 		Retention: c.settings.StatusRetention, FarFactor: c.settings.FarFactor,
 	}
 }
--- a/internal/coordinator/note.go
+++ b/internal/coordinator/decision_log.go
@@ -8,11 +8,11 @@
 	"peridotpitch/internal/orchestrator"
 )
 
-// note logs a decision and counts it.
-func (c *Coordinator) note(n orchestrator.Note) {
+// logDecision logs a decision of the orchestrator and counts it.
+func (c *Coordinator) logDecision(n orchestrator.Note) {
 	c.metrics.decisions.WithLabelValues(n.Event).Inc()
 	if n.Event == orchestrator.EventJobFinished {
-		c.metrics.jobTime.WithLabelValues(n.Queue, n.Outcome).Observe(n.Age.Seconds())
+		c.metrics.jobDuration.WithLabelValues(n.Queue, n.Outcome).Observe(n.Age.Seconds())
 	}
 	attrs := make([]slog.Attr, 0, 8)
 	add := func(key, value string) {
@@ -36,9 +36,10 @@
 	c.log.LogAttrs(context.Background(), slog.LevelInfo, n.Event, attrs...)
 }
 
-// foreignEntry logs an entry that names no worker, once for each key.
-func (c *Coordinator) foreignEntry(key string, err error) {
-	if _, seen := c.foreign.LoadOrStore(key, true); !seen {
+// logInvalidWorkerEntry logs an entry under the workers' prefix that does not describe a
+// worker, once for each key.
+func (c *Coordinator) logInvalidWorkerEntry(key string, err error) {
+	if _, seen := c.invalidWorkerKeys.LoadOrStore(key, true); !seen {
 		c.log.Warn("EntryIgnored", "Key", key, "Cause", err.Error())
 	}
 }
--- a/internal/coordinator/doc.go
+++ b/internal/coordinator/doc.go
@@ -1,24 +1,27 @@
-// Package coordinator runs one entry host on the platform. Every host accepts jobs and
-// answers for them; one host at a time leads and gives orders to the workers.
+// Package coordinator runs one entry host. Every entry host accepts jobs and answers
+// requests about them. One entry host at a time is the leader: it schedules the jobs and
+// sends commands to the workers.
 //
-// The store holds everything that lasts:
+// All persistent state is in the store:
 //
-//	peridot/lead/term      who leads; rewritten at each election only
-//	peridot/lead/head      rewritten by each of the leader's writes
-//	peridot/roster         workers that the leader may have started tasks on
-//	peridot/learnt         what the leader has learnt of images
+//	peridot/lead/term      the current leader; written by elections and hand-overs only
+//	peridot/lead/head      rewritten by each write of the leader
+//	peridot/roster         workers on which the leader may have started tasks
+//	peridot/learnt         workload statistics that the leader has collected
 //	peridot/in/job/ID      a submitted job, created if absent by the host that accepts it
-//	peridot/in/cancel/ID   a request to cancel it
-//	peridot/record/ID      its progress, written by the leader; a final state replaces the job
+//	peridot/in/cancel/ID   a request to cancel the job
+//	peridot/record/ID      the job's progress, written by the leader; the write of a final
+//	                       state deletes the two keys above
 //
-// Each write of the leader expects the revisions of term and head. A write that was lost
-// on the way and arrives later therefore fails once another write has been made or
-// another leader elected. The revision of term is the fence of all orders to workers.
+// Each write of the leader is conditional on the revisions of term and head. A write that
+// is delayed therefore fails if another write or an election was executed before it. The
+// revision of term is the epoch; workers use it as a fencing token for commands.
 //
-// Hosts ping the leader. A host that gets no answer, or learns that the leader has lost
-// the store, watches head: if it does not change for a while, the host has itself
-// elected by rewriting term. A wrong suspicion therefore needs a leader that neither
-// answers nor writes.
+// The other hosts ping the leader. A host whose ping fails, or whose leader reports that
+// it has lost the store, polls head. If head does not change for the election timeout, the
+// host campaigns by rewriting term. A working leader is therefore replaced only if it
+// neither answers pings nor writes to the store.
 //
-// Lock order: leader.mu before Coordinator.mu. No lock is held during I/O.
+// Lock order: leadership.mu before Coordinator.mu. No lock except leadership.writeMu is
+// held during I/O.
 package coordinator
--- /dev/null
+++ b/internal/coordinator/election.go
@@ -0,0 +1,241 @@
+package coordinator
+
+import (
+	"context"
+	"errors"
+	"net/netip"
+	"time"
+
+	"github.com/vmihailenco/msgpack/v5"
+
+	"peridotpitch/internal/messenger"
+	"peridotpitch/internal/storer"
+	"peridotpitch/internal/timekeeper"
+)
+
+// Store keys that the coordinator writes; see the package comment.
+const (
+	prefixLeader          = "peridot/lead/"
+	keyTerm               = prefixLeader + "term"
+	keyHead               = prefixLeader + "head"
+	keyRoster             = "peridot/roster"
+	keyWorkloadStatistics = "peridot/learnt"
+	prefixInput           = "peridot/in/"
+	prefixJob             = prefixInput + "job/"
+	prefixCancel          = prefixInput + "cancel/"
+	prefixRecord          = "peridot/record/"
+)
+
+const (
+	// pingInterval is the interval of pings to the leader. If the leader's process has
+	// ended, its host refuses the connection of the next ping.
+	pingInterval = 250 * time.Millisecond
+	// pingTimeout is several times the round trip between failure domains, so that an
+	// overloaded leader still answers in time.
+	pingTimeout = 500 * time.Millisecond
+	// headPollInterval is the interval at which a host reads head after a failed ping.
+	headPollInterval = 150 * time.Millisecond
+	// refusedElectionTimeout is how long head must not have changed before a host campaigns,
+	// if the leader's host refuses connections. It is longer than headWriteInterval, to
+	// allow for a slow answer of the store.
+	refusedElectionTimeout = 500 * time.Millisecond
+	// silentElectionTimeout replaces refusedElectionTimeout if the leader does not answer,
+	// or reports that it has lost the store.
+	silentElectionTimeout = 900 * time.Millisecond
+	// maxLeaderStoreSilence is the time since the store last served the leader after which
+	// a host that still reaches the store starts to poll head.
+	maxLeaderStoreSilence = 1500 * time.Millisecond
+	// maxCampaignJitter spreads the campaigns of hosts that detect a failed leader at the
+	// same time.
+	maxCampaignJitter = 120 * time.Millisecond
+	// campaignYieldDelay is how long a host delays its campaign for the preferred host, or
+	// for other hosts if its processor share is much smaller than the last leader's.
+	campaignYieldDelay = 500 * time.Millisecond
+	// minProcessorShareRatio is the smallest ratio of a host's processor share to another
+	// host's at which it is about as well suited to lead.
+	minProcessorShareRatio = 0.6
+	// termRetryDelay is the pause after a failed read of the term or after a campaign.
+	termRetryDelay = 150 * time.Millisecond
+)
+
+// term is the value of keyTerm.
+type term struct {
+	Host      string
+	Process   string  // the leader's process; a restarted process is not the leader
+	Address   string  // message address of the leader; empty: no host leads
+	HandedOff bool    // the last leader stopped sending commands and wrote all records
+	Preferred string  // after a hand-over: the host that should campaign first; empty: any
+	Share     float64 // processor share of the leader's host, or of the last leader's
+	Revision  uint64  `msgpack:"-"`
+}
+
+// address returns the leader's message address, which is invalid if no host leads.
+func (t term) address() netip.AddrPort {
+	a, err := netip.ParseAddrPort(t.Address)
+	if err != nil {
+		return netip.AddrPort{}
+	}
+	return a
+}
+
+// headObservation is the last revision of head that a host read after the leader failed a
+// check, and the time of the first read of that revision. The zero value means that head
+// was not read.
+type headObservation struct {
+	revision uint64
+	since    time.Time
+}
+
+// monitorLeader checks the leader while another host leads, and campaigns if it has failed.
+func (c *Coordinator) monitorLeader(ctx context.Context) {
+	var o headObservation
+	for ctx.Err() == nil {
+		pause := pingInterval
+		if c.currentLeadership() == nil && !c.leaving.Load() {
+			pause = c.checkLeader(ctx, &o)
+		}
+		sleep(ctx, pause)
+	}
+}
+
+// checkLeader pings the leader, and campaigns if no host leads. It returns the pause before
+// the next check.
+func (c *Coordinator) checkLeader(ctx context.Context, o *headObservation) time.Duration {
+	t, known := c.currentTerm()
+	if !known {
+		if _, err := c.readTerm(ctx); err != nil {
+			return termRetryDelay
+		}
+		return 0
+	}
+	if !t.address().IsValid() {
+		if t.Preferred != "" && t.Preferred != c.settings.Name {
+			sleep(ctx, campaignYieldDelay)
+		}
+		c.campaign(ctx, t, "no host leads")
+		return termRetryDelay
+	}
+	if t.Host == c.settings.Name && t.Address == c.settings.MessageAddress.String() {
+		c.campaign(ctx, t, "the term names this host, which does not lead: it was restarted or the answer to its election was lost")
+		return termRetryDelay
+	}
+	p, err := c.pingLeader(ctx, t)
+	electionTimeout := silentElectionTimeout
+	var notSent *messenger.NotSentError
+	switch {
+	case err == nil && p.Process != t.Process, err == nil && !p.Leading:
+		next, readErr := c.readTerm(ctx)
+		if readErr == nil && next.Revision == t.Revision {
+			c.campaign(ctx, t, "the leader's process has ended")
+		}
+		return termRetryDelay
+	case err == nil && p.StoreSilence < maxLeaderStoreSilence:
+		*o = headObservation{}
+		return pingInterval
+	case errors.As(err, &notSent):
+		electionTimeout = refusedElectionTimeout
+	}
+	return c.checkHead(ctx, t, o, electionTimeout)
+}
+
+// checkHead reads head and campaigns if it has not changed for electionTimeout. It returns
+// the pause before the next check.
+func (c *Coordinator) checkHead(ctx context.Context, t term, o *headObservation, electionTimeout time.Duration) time.Duration {
+	entries, _, err := c.store.List(ctx, prefixLeader)
+	if err != nil {
+		*o = headObservation{} // head may have changed while the store did not answer
+		return headPollInterval
+	}
+	now := timekeeper.Now()
+	for _, e := range entries {
+		switch e.Key {
+		case keyTerm:
+			if e.Revision != t.Revision {
+				c.updateTerm(e)
+				*o = headObservation{}
+				return 0
+			}
+		case keyHead:
+			if o.since.IsZero() || e.Revision != o.revision {
+				*o = headObservation{revision: e.Revision, since: now}
+			}
+		}
+	}
+	if o.since.IsZero() {
+		o.since = now
+	}
+	if unchangedFor := now.Sub(o.since); unchangedFor >= electionTimeout {
+		c.campaign(ctx, t, "the leader neither answers nor writes")
+		*o = headObservation{}
+	}
+	return headPollInterval
+}
+
+func (c *Coordinator) currentTerm() (term, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.term, c.termKnown
+}
+
+func (c *Coordinator) readTerm(ctx context.Context) (term, error) {
+	e, err := c.store.Get(ctx, keyTerm)
+	if err != nil {
+		return term{}, err
+	}
+	return c.updateTerm(e), nil
+}
+
+// updateTerm stores a term that was read if it is newer than the known one, and returns the
+// newer of the two.
+func (c *Coordinator) updateTerm(e storer.Entry) term {
+	var t term
+	if e.Revision > 0 {
+		if err := msgpack.Unmarshal(e.Value, &t); err != nil {
+			c.log.Error("TermUnreadable", "Revision", e.Revision, "Cause", err.Error())
+			t = term{} // treated as a term without a leader; the next election replaces it
+		}
+	}
+	t.Revision = e.Revision
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.termKnown && t.Revision <= c.term.Revision {
+		return c.term
+	}
+	c.term, c.termKnown = t, true
+	c.log.Info("TermRead", "Leader", t.Host, "Epoch", t.Revision, "HandedOff", t.HandedOff)
+	return t
+}
+
+// campaign tries to become the leader. It succeeds if the stored term is still after.
+func (c *Coordinator) campaign(ctx context.Context, after term, reason string) {
+	if c.leaving.Load() {
+		return
+	}
+	pause := c.jitter(maxCampaignJitter)
+	if c.settings.ProcessorShare < minProcessorShareRatio*after.Share {
+		pause += campaignYieldDelay
+	}
+	sleep(ctx, pause)
+	next := term{Host: c.settings.Name, Process: c.processID, Address: c.settings.MessageAddress.String(), Share: c.settings.ProcessorShare}
+	value, err := msgpack.Marshal(&next)
+	if err != nil {
+		c.log.Error("ElectionFailed", "Cause", err.Error())
+		return
+	}
+	sent := timekeeper.Now()
+	revision, err := c.store.Commit(ctx, storer.Transaction{
+		Conditions: []storer.Condition{{Key: keyTerm, Revision: after.Revision}},
+		Puts:       []storer.Entry{{Key: keyTerm, Value: value}, {Key: keyHead, Value: []byte(c.processID)}},
+	})
+	if err != nil {
+		c.log.Info("ElectionLost", "Epoch", after.Revision, "Reason", reason, "Cause", err.Error())
+		if _, err := c.readTerm(ctx); err != nil {
+			c.log.Warn("TermNotRead", "Cause", err.Error())
+		}
+		return
+	}
+	next.Revision = revision
+	c.log.Info("ElectionWon", "Epoch", revision, "After", after.Revision, "LastLeader", after.Host, "HandedOff", after.HandedOff, "Reason", reason)
+	c.metrics.electionsWon.Inc()
+	c.startLeadership(ctx, next, after.HandedOff, sent)
+}
--- a/internal/coordinator/input.go
+++ b/internal/coordinator/input.go
@@ -11,42 +11,43 @@
 	"peridotpitch/internal/timekeeper"
 )
 
-// load reads what earlier leaders left, and returns the store's revision of the inputs.
-func (ld *leader) load(ctx context.Context, handedOff bool) (uint64, error) {
+// load passes the state that earlier leaders stored to the orchestrator. It returns the
+// store's revision at which the inputs were read.
+func (ld *leadership) load(ctx context.Context, handedOff bool) (uint64, error) {
 	begin := timekeeper.Now()
 	var inherited orchestrator.Inherited
-	var inputs uint64
+	var inputRevision uint64
 	for {
 		if err := ctx.Err(); err != nil {
 			return 0, err
 		}
 		var err error
-		if inherited, inputs, err = ld.readState(ctx); err == nil {
+		if inherited, inputRevision, err = ld.readInherited(ctx); err == nil {
 			break
 		}
 		ld.c.log.Warn("LoadFailed", "Epoch", ld.term.Revision, "Cause", err.Error())
 		if next, readErr := ld.c.readTerm(ctx); readErr == nil && next.Revision != ld.term.Revision {
-			return 0, errDeposed
+			return 0, errOtherHostElected
 		}
-		sleep(ctx, loadRetry)
+		sleep(ctx, loadRetryDelay)
 	}
 	inherited.HandedOff = handedOff
-	// Before any worker is looked at: ends of jobs that are not known would be
-	// acknowledged, and their runs stopped.
-	ld.step(inherited)
+	// This event comes before the first poll of a worker. Otherwise ended runs of jobs that
+	// are not loaded would be acknowledged, and their current runs stopped.
+	ld.apply(inherited)
 	ld.mu.Lock()
 	ld.loaded = true
 	ld.mu.Unlock()
 	ld.c.log.Info("Leading", "Epoch", ld.term.Revision, "Jobs", len(inherited.Jobs), "Finished", len(inherited.Finished),
 		"Workers", len(inherited.Roster.Workers), "Took", timekeeper.Now().Sub(begin).Round(time.Millisecond).String())
-	return inputs, nil
+	return inputRevision, nil
 }
 
-var errDeposed = errors.New("another host was elected")
+var errOtherHostElected = errors.New("another host was elected")
 
-// readState reads the jobs and their records. Inputs are read first: a job that became
-// final between the two reads then has a record.
-func (ld *leader) readState(ctx context.Context) (orchestrator.Inherited, uint64, error) {
+// readInherited reads the state that earlier leaders stored. Inputs are read before records,
+// so that a job that reaches a final state between the two reads has a record.
+func (ld *leadership) readInherited(ctx context.Context) (orchestrator.Inherited, uint64, error) {
 	var inherited orchestrator.Inherited
 	inputs, revision, err := ld.list(ctx, prefixInput)
 	if err != nil {
@@ -65,16 +66,16 @@
 			return inherited, 0, err
 		}
 	}
-	if inherited.Learnt, err = ld.readLearnt(ctx); err != nil {
+	if inherited.Learnt, err = ld.readWorkloadStatistics(ctx); err != nil {
 		return inherited, 0, err
 	}
-	known := make(map[string]*orchestrator.Record)
+	recordByID := make(map[string]*orchestrator.Record)
 	for _, e := range records {
 		r, err := orchestrator.DecodeRecord(e.Value)
 		if err != nil {
 			return inherited, 0, err
 		}
-		known[r.ID] = &r
+		recordByID[r.ID] = &r
 		if r.State.Final() {
 			inherited.Finished = append(inherited.Finished, r)
 		}
@@ -94,34 +95,36 @@
 			ld.c.log.Error("JobUnreadable", "Key", e.Key, "Cause", err.Error())
 			continue
 		}
-		inherited.Jobs = append(inherited.Jobs, orchestrator.InheritedJob{Job: j, Revision: e.Revision, Record: known[j.ID], Cancelled: cancelled[j.ID]})
+		inherited.Jobs = append(inherited.Jobs, orchestrator.InheritedJob{Job: j, Revision: e.Revision, Record: recordByID[j.ID], Cancelled: cancelled[j.ID]})
 	}
 	return inherited, revision, nil
 }
 
-func (ld *leader) readLearnt(ctx context.Context) (orchestrator.Experience, error) {
-	e, err := ld.c.store.Get(ctx, keyLearnt)
+func (ld *leadership) readWorkloadStatistics(ctx context.Context) (orchestrator.Experience, error) {
+	e, err := ld.c.store.Get(ctx, keyWorkloadStatistics)
 	if err != nil || e.Revision == 0 {
 		return orchestrator.Experience{}, err
 	}
-	learnt, err := orchestrator.DecodeExperience(e.Value)
+	statistics, err := orchestrator.DecodeExperience(e.Value)
 	if err != nil {
-		// It only saves time: the leader learns anew.
+		// The statistics can be collected again, so an unreadable value does not stop
+		// the leader.
 		ld.c.log.Error("ExperienceUnreadable", "Cause", err.Error())
 		return orchestrator.Experience{}, nil
 	}
-	return learnt, nil
+	return statistics, nil
 }
 
-func (ld *leader) list(ctx context.Context, prefix string) ([]storer.Entry, uint64, error) {
+func (ld *leadership) list(ctx context.Context, prefix string) ([]storer.Entry, uint64, error) {
 	es, revision, err := ld.c.store.List(ctx, prefix)
 	return es, revision, err
 }
 
-// catchUp finds jobs and requests to cancel of which no notice has come.
-func (ld *leader) catchUp(ctx context.Context, revision uint64) {
+// pollInputs reads new jobs and cancel requests from the store, in case their notices were
+// lost.
+func (ld *leadership) pollInputs(ctx context.Context, revision uint64) {
 	for ctx.Err() == nil {
-		sleep(ctx, catchUpEvery)
+		sleep(ctx, inputPollInterval)
 		es, err := ld.c.store.Watch(ctx, prefixInput, revision, time.Millisecond)
 		if err != nil {
 			continue
@@ -134,18 +137,18 @@
 			es = storer.Events{Events: list, StoreRevision: at}
 		}
 		for _, e := range es.Events {
-			ld.takeInput(e)
+			ld.applyInput(e)
 		}
 		revision = max(revision, es.StoreRevision)
 	}
 }
 
-func (ld *leader) takeInput(e storer.Entry) {
+func (ld *leadership) applyInput(e storer.Entry) {
 	if e.Deleted {
 		return
 	}
 	if id, ok := strings.CutPrefix(e.Key, prefixCancel); ok {
-		ld.step(orchestrator.CancelRequested{ID: id})
+		ld.apply(orchestrator.CancelRequested{ID: id})
 		return
 	}
 	if !strings.HasPrefix(e.Key, prefixJob) {
@@ -156,29 +159,29 @@
 		ld.c.log.Error("JobUnreadable", "Key", e.Key, "Cause", err.Error())
 		return
 	}
-	ld.step(orchestrator.JobAccepted{Job: j, Revision: e.Revision})
+	ld.apply(orchestrator.JobAccepted{Job: j, Revision: e.Revision})
 }
 
-// discover follows the list of workers.
-func (ld *leader) discover(ctx context.Context) {
+// watchWorkers passes changes of the store's list of workers to the orchestrator.
+func (ld *leadership) watchWorkers(ctx context.Context) {
 	var listed time.Time
 	var revision uint64
 	for ctx.Err() == nil {
-		if timekeeper.Now().Sub(listed) > relistEvery {
+		if timekeeper.Now().Sub(listed) > workerRelistInterval {
 			at, err := ld.listWorkers(ctx)
 			if err != nil {
-				sleep(ctx, discoveryRetry)
+				sleep(ctx, workerWatchRetryDelay)
 				continue
 			}
 			listed, revision = timekeeper.Now(), max(revision, at)
 		}
-		es, err := ld.c.store.Watch(ctx, ld.c.peers.Keys.Workers, revision, discoveryWait)
+		es, err := ld.c.store.Watch(ctx, ld.c.deps.Keys.Workers, revision, workerWatchTimeout)
 		if err != nil {
-			sleep(ctx, discoveryRetry)
+			sleep(ctx, workerWatchRetryDelay)
 			continue
 		}
 		for _, e := range es.Events {
-			ld.takeWorker(e)
+			ld.applyWorkerEvent(e)
 		}
 		revision = max(revision, es.StoreRevision)
 		if es.Compacted {
@@ -187,33 +190,33 @@
 	}
 }
 
-func (ld *leader) listWorkers(ctx context.Context) (uint64, error) {
-	es, revision, err := ld.list(ctx, ld.c.peers.Keys.Workers)
+func (ld *leadership) listWorkers(ctx context.Context) (uint64, error) {
+	es, revision, err := ld.list(ctx, ld.c.deps.Keys.Workers)
 	if err != nil {
 		return 0, err
 	}
 	var listed orchestrator.WorkersListed
 	for _, e := range es {
-		w, err := ld.c.peers.Decoder.Worker(e.Key, e.Value)
+		w, err := ld.c.deps.Decoder.Worker(e.Key, e.Value)
 		if err != nil {
-			ld.c.foreignEntry(e.Key, err)
+			ld.c.logInvalidWorkerEntry(e.Key, err)
 			continue
 		}
 		listed.Workers = append(listed.Workers, w)
 	}
-	ld.step(listed)
+	ld.apply(listed)
 	return revision, nil
 }
 
-func (ld *leader) takeWorker(e storer.Entry) {
+func (ld *leadership) applyWorkerEvent(e storer.Entry) {
 	if e.Deleted {
-		ld.step(orchestrator.WorkerUnlisted{ID: strings.TrimPrefix(e.Key, ld.c.peers.Keys.Workers)})
+		ld.apply(orchestrator.WorkerUnlisted{ID: strings.TrimPrefix(e.Key, ld.c.deps.Keys.Workers)})
 		return
 	}
-	w, err := ld.c.peers.Decoder.Worker(e.Key, e.Value)
+	w, err := ld.c.deps.Decoder.Worker(e.Key, e.Value)
 	if err != nil {
-		ld.c.foreignEntry(e.Key, err)
+		ld.c.logInvalidWorkerEntry(e.Key, err)
 		return
 	}
-	ld.step(orchestrator.WorkerListed{Worker: w})
+	ld.apply(orchestrator.WorkerListed{Worker: w})
 }
--- a/internal/coordinator/lead.go
+++ b/internal/coordinator/lead.go
@@ -13,177 +13,182 @@
 )
 
 const (
-	// runLease is the lease of runs. It covers the time until a successor of a leader
-	// that went silent has reached the workers; longer leases delay the restart of what
-	// ran on a lost worker.
-	runLease = 4500 * time.Millisecond
-	// leaderAuthority bounds the leases that a leader without the store hands out. A
-	// successor waits as long for workers that it can not reach.
-	leaderAuthority = 7 * time.Second
-	// headEvery is the longest time between two writes of a leader. It is the leader's
-	// sign of life in the store.
-	headEvery = 300 * time.Millisecond
-	// collectFor is the pause after a write while there are changes that no caller waits
-	// for.
-	collectFor = 90 * time.Millisecond
-	// batchLimit is the number of jobs in one write: a final state puts a record and
-	// deletes two keys, and a transaction takes 32 entries.
-	batchLimit = 9
-	// writeRetry is the pause after a failed write.
-	writeRetry = 60 * time.Millisecond
-	// tickEvery is the interval at which time passes for the orchestrator.
-	tickEvery = 50 * time.Millisecond
-	// catchUpEvery is the interval at which the leader looks for jobs and requests to
-	// cancel of which it has got no notice.
-	catchUpEvery = time.Second
-	// discoveryWait is how long one watch of the workers lasts, discoveryRetry the pause
-	// after a failed one. After relistEvery the whole list is read again.
-	discoveryWait  = 2 * time.Second
-	discoveryRetry = 200 * time.Millisecond
-	relistEvery    = 6 * time.Second
-	// loadRetry is the pause after a failed read of what an earlier leader left.
-	loadRetry = 100 * time.Millisecond
+	// runLeaseDuration is the lease of a run, which each poll renews. It covers the time
+	// from the failure of a leader until its successor has reached the workers. A longer
+	// lease delays the restart of runs on a lost worker.
+	runLeaseDuration = 4500 * time.Millisecond
+	// leaderLeaseDuration bounds the leases that a leader without the store grants: none
+	// ends later than this after the last confirmed write. A new leader waits as long before
+	// it gives up runs on workers that it can't reach.
+	leaderLeaseDuration = 7 * time.Second
+	// headWriteInterval is the longest time between two writes of a leader, which serve as
+	// its heartbeat in the store.
+	headWriteInterval = 300 * time.Millisecond
+	// writeBatchDelay is the pause after a write while changes remain that no caller is
+	// waiting for. More changes share the next write.
+	writeBatchDelay = 90 * time.Millisecond
+	// maxBatchJobs limits the jobs in one write. A final state takes three entries (a
+	// record and two deleted keys), and a transaction takes at most 32.
+	maxBatchJobs = 9
+	// writeRetryDelay is the pause after a failed write.
+	writeRetryDelay = 60 * time.Millisecond
+	// tickInterval is the interval of Tick events for the orchestrator.
+	tickInterval = 50 * time.Millisecond
+	// inputPollInterval is the interval at which the leader reads new jobs and cancel
+	// requests from the store, in case a notice was lost.
+	inputPollInterval = time.Second
+	// workerWatchTimeout is how long one watch of the list of workers lasts.
+	workerWatchTimeout = 2 * time.Second
+	// workerWatchRetryDelay is the pause after a failed watch or read of the list.
+	workerWatchRetryDelay = 200 * time.Millisecond
+	// workerRelistInterval is the interval at which the whole list is read again.
+	workerRelistInterval = 6 * time.Second
+	// loadRetryDelay is the pause after a failed read of the state of earlier leaders.
+	loadRetryDelay = 100 * time.Millisecond
 )
 
-// leader is this host's leadership of one term.
-type leader struct {
-	c      *Coordinator
-	term   term
-	cancel context.CancelFunc
-	ended  chan struct{}
-	urgent chan struct{} // wakes the writer
-
-	mu      sync.Mutex // guards the fields below
-	o       *orchestrator.Orchestrator
-	loaded  bool
-	handing bool // no more orders
-	aside   bool // it is being handed over to a better suited host
-	lookers map[string]*looker
-
-	confirmedAt atomic.Int64 // timekeeper time at which the last confirmed write was sent, Unix ns
-
-	writeMu sync.Mutex // held during a write of the leader; guards head
-	head    uint64     // revision of keyHead
+// leadership is the state of this host as leader during one term.
+type leadership struct {
+	c           *Coordinator
+	term        term
+	cancel      context.CancelFunc
+	done        chan struct{} // closed when run has returned
+	writeWakeup chan struct{} // makes runWriter write at once
+
+	mu          sync.Mutex // guards the fields below
+	orch        *orchestrator.Orchestrator
+	loaded      bool // the state of earlier leaders has been read
+	handingOver bool // handOver has begun: no more commands are sent
+	yielding    bool // yieldTo has begun a hand-over
+	pollers     map[string]*poller
+
+	lastConfirmedSent atomic.Int64 // timekeeper time at which the last confirmed write was sent, in Unix ns
+
+	writeMu      sync.Mutex // held during a write of the leader; guards headRevision
+	headRevision uint64     // revision of keyHead
 }
 
-// lead starts a leadership, which ends by itself when another host is elected.
-func (c *Coordinator) lead(ctx context.Context, t term, handedOff bool, sent time.Time) {
+// startLeadership makes this host the leader of term t. The leadership ends when another
+// host is elected. sent is when the election was sent to the store.
+func (c *Coordinator) startLeadership(ctx context.Context, t term, handedOff bool, sent time.Time) {
 	inner, cancel := context.WithCancel(ctx)
-	ld := &leader{
-		c: c, term: t, cancel: cancel, ended: make(chan struct{}), urgent: make(chan struct{}, 1),
-		o:       orchestrator.New(c.orchestratorSettings(t.Revision, sent, timekeeper.Now())),
-		lookers: make(map[string]*looker), head: t.Revision,
+	ld := &leadership{
+		c: c, term: t, cancel: cancel, done: make(chan struct{}), writeWakeup: make(chan struct{}, 1),
+		orch:    orchestrator.New(c.orchestratorSettings(t.Revision, sent, timekeeper.Now())),
+		pollers: make(map[string]*poller), headRevision: t.Revision,
 	}
-	ld.confirmedAt.Store(sent.UnixNano())
+	ld.lastConfirmedSent.Store(sent.UnixNano())
 	c.mu.Lock()
-	c.term, c.known, c.leader = t, true, ld
+	c.term, c.termKnown, c.leadership = t, true, ld
 	c.mu.Unlock()
 	c.metrics.leading.Set(1)
 	go func() {
-		defer close(ld.ended)
+		defer close(ld.done)
 		ld.run(inner, handedOff)
 		cancel()
 		c.mu.Lock()
-		c.leader = nil
+		c.leadership = nil
 		c.mu.Unlock()
 		c.metrics.leading.Set(0)
 	}()
 }
 
-func (ld *leader) run(ctx context.Context, handedOff bool) {
-	inputs, err := ld.load(ctx, handedOff)
+func (ld *leadership) run(ctx context.Context, handedOff bool) {
+	inputRevision, err := ld.load(ctx, handedOff)
 	if err != nil {
 		ld.c.log.Warn("LeadershipEnded", "Epoch", ld.term.Revision, "Cause", err.Error())
 		return
 	}
 	group, inner := errgroup.WithContext(ctx)
-	group.Go(func() error { ld.write(inner); return nil })
-	group.Go(func() error { ld.catchUp(inner, inputs); return nil })
-	group.Go(func() error { ld.discover(inner); return nil })
-	group.Go(func() error { ld.tick(inner); return nil })
+	group.Go(func() error { ld.runWriter(inner); return nil })
+	group.Go(func() error { ld.pollInputs(inner, inputRevision); return nil })
+	group.Go(func() error { ld.watchWorkers(inner); return nil })
+	group.Go(func() error { ld.runTicker(inner); return nil })
 	if err := group.Wait(); err != nil {
 		ld.c.log.Error("LeadershipEnded", "Epoch", ld.term.Revision, "Cause", err.Error())
 	}
 	ld.mu.Lock()
-	for _, k := range ld.lookers {
-		k.cancel()
+	for _, p := range ld.pollers {
+		p.cancel()
 	}
 	ld.mu.Unlock()
 }
 
-// step applies an event and carries out the actions.
-func (ld *leader) step(e orchestrator.Event) {
+// apply passes an event to the orchestrator and executes the resulting actions.
+func (ld *leadership) apply(e orchestrator.Event) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
-	for _, a := range ld.o.Step(e, timekeeper.Now()) {
-		ld.carryOut(a)
+	for _, a := range ld.orch.Step(e, timekeeper.Now()) {
+		ld.execute(a)
 	}
 }
 
-// carryOut starts an action. ld.mu is held.
-func (ld *leader) carryOut(a orchestrator.Action) {
+// execute starts an action. ld.mu must be held.
+func (ld *leadership) execute(a orchestrator.Action) {
 	switch a := a.(type) {
 	case orchestrator.StartRun:
-		ld.c.metrics.starts.Inc()
-		ld.order(a.Worker, a)
+		ld.c.metrics.taskStarts.Inc()
+		ld.enqueueCommand(a.Worker, a)
 	case orchestrator.StopRun:
-		ld.order(a.Worker, a)
+		ld.enqueueCommand(a.Worker, a)
 	case orchestrator.PaceRun:
-		ld.order(a.Worker, a)
+		ld.enqueueCommand(a.Worker, a)
 	case orchestrator.WatchWorker:
-		ld.watch(a.Worker)
+		ld.startPoller(a.Worker)
 	case orchestrator.ForgetWorker:
-		ld.forget(a.ID)
+		ld.stopPoller(a.ID)
 	case orchestrator.AskAdvice:
-		go ld.advise(a)
+		go ld.requestAdvice(a)
 	case orchestrator.WriteSoon:
-		ld.writeSoon()
+		ld.wakeWriter()
 	case orchestrator.StepDown:
 		ld.c.log.Warn("StepDown", "Epoch", ld.term.Revision, "Reason", a.Reason)
 		ld.cancel()
 	case orchestrator.Note:
-		ld.c.note(a)
+		ld.c.logDecision(a)
 	}
 }
 
-func (ld *leader) tick(ctx context.Context) {
-	t := time.NewTicker(tickEvery)
+func (ld *leadership) runTicker(ctx context.Context) {
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
-			ld.step(orchestrator.Tick{WallOffset: timekeeper.WallOffset()})
+			ld.apply(orchestrator.Tick{WallOffset: timekeeper.WallOffset()})
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// notice takes up what another host has written to the store.
-func (ld *leader) notice(n notice) {
+// handleNotice applies a job or cancel request that another host has stored. A job of
+// another term is ignored here; load or pollInputs finds it.
+func (ld *leadership) handleNotice(n notice) {
 	if n.Job != nil && n.Epoch == ld.term.Revision {
-		ld.step(orchestrator.JobAccepted{Job: *n.Job, Revision: n.Revision})
+		ld.apply(orchestrator.JobAccepted{Job: *n.Job, Revision: n.Revision})
 	}
 	if n.Cancel != "" {
-		ld.step(orchestrator.CancelRequested{ID: n.Cancel})
+		ld.apply(orchestrator.CancelRequested{ID: n.Cancel})
 	}
 }
 
-// state returns a job's state, whether it is known and whether this leader knows all
-// jobs.
-func (ld *leader) state(id string) (orchestrator.State, bool, bool) {
+// state returns a job's state, whether the job is known, and whether this leader has
+// loaded all jobs and is not handing over.
+func (ld *leadership) state(id string) (orchestrator.State, bool, bool) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
-	s, known := ld.o.State(id)
-	return s, known, ld.loaded && !ld.handing
+	s, known := ld.orch.State(id)
+	return s, known, ld.loaded && !ld.handingOver
 }
 
-// pending returns nil while not all jobs are known.
-func (ld *leader) pending() map[string]int {
+// pending returns the number of pending jobs by queue. It returns nil before all jobs are
+// loaded and during a hand-over.
+func (ld *leadership) pending() map[string]int {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
-	if !ld.loaded || ld.handing {
+	if !ld.loaded || ld.handingOver {
 		return nil
 	}
-	return ld.o.Pending()
+	return ld.orch.Pending()
 }
--- a/internal/coordinator/messages.go
+++ b/internal/coordinator/messages.go
@@ -10,44 +10,45 @@
 	"peridotpitch/internal/timekeeper"
 )
 
-// Methods that other entry hosts call.
+// Names of the methods that other entry hosts call.
 const (
 	methodPing   = "Ping"
 	methodNotice = "Notice"
 	methodState  = "State"
 )
 
-// messageTimeout bounds a message to the leader that a caller may wait for.
-const messageTimeout = 400 * time.Millisecond
+// leaderCallTimeout bounds calls of the leader other than pings. A caller's request may be
+// waiting for the call.
+const leaderCallTimeout = 400 * time.Millisecond
 
-// ping asks the leader for a sign of life.
-type ping struct {
+// pingRequest checks whether the leader is alive and tells it about the sending host.
+type pingRequest struct {
 	Host    string
 	Epoch   uint64
-	Version uint64  // of the configuration in force
+	Version uint64  // of the configuration in effect on the host
 	Share   float64 // processor share of the host
 	Ready   bool
 }
 
-// pong is the answer to a ping.
-type pong struct {
+// pingAnswer describes the host that was pinged.
+type pingAnswer struct {
 	Process string
 	Leading bool
-	Loaded  bool // the leader knows all jobs
+	Loaded  bool // the leader has loaded all jobs
 	Epoch   uint64
-	// StoreSilence is the time since the store last served the leader, or took a write
-	// of it if that is longer ago.
+	// StoreSilence is the time since the store last served a call of the host. For a
+	// leader it is at least the time since its last confirmed write was sent.
 	StoreSilence time.Duration
 	Version      uint64
 	Pending      map[string]int
 }
 
-// notice tells the leader what a host has written to the store.
+// notice informs the leader of a job or cancel request that a host has stored.
 type notice struct {
-	Epoch    uint64 // term under which the job was accepted
+	Epoch    uint64 // term in which the job was accepted
 	Job      *orchestrator.Job
 	Revision uint64
-	Cancel   string
+	Cancel   string // ID of the job to be cancelled; empty: none
 }
 
 type stateRequest struct{ ID string }
@@ -58,17 +59,17 @@
 	State   orchestrator.State
 }
 
-type nothing struct{}
+type emptyAnswer struct{}
 
-// methods are what this host serves to others.
-func (c *Coordinator) methods() map[string]messenger.Method {
+// peerMethods returns the methods that other entry hosts may call.
+func (c *Coordinator) peerMethods() map[string]messenger.Method {
 	return map[string]messenger.Method{
 		methodPing: messenger.NewMethod(c.servePing),
-		methodNotice: messenger.NewMethod(func(_ context.Context, n notice) (nothing, error) {
-			if ld := c.leading(); ld != nil {
-				ld.notice(n)
+		methodNotice: messenger.NewMethod(func(_ context.Context, n notice) (emptyAnswer, error) {
+			if ld := c.currentLeadership(); ld != nil {
+				ld.handleNotice(n)
 			}
-			return nothing{}, nil
+			return emptyAnswer{}, nil
 		}),
 		methodState: messenger.NewMethod(func(_ context.Context, r stateRequest) (stateAnswer, error) {
 			return c.localState(r.ID), nil
@@ -76,39 +77,39 @@
 	}
 }
 
-func (c *Coordinator) servePing(_ context.Context, p ping) (pong, error) {
-	c.newerConfiguration(p.Version)
-	a := pong{Process: c.process, StoreSilence: c.storeSilence(), Version: c.configVersion()}
-	if ld := c.leading(); ld != nil {
+func (c *Coordinator) servePing(_ context.Context, p pingRequest) (pingAnswer, error) {
+	c.refetchOlderConfiguration(p.Version)
+	a := pingAnswer{Process: c.processID, StoreSilence: c.timeSinceStoreSuccess(), Version: c.configVersion()}
+	if ld := c.currentLeadership(); ld != nil {
 		a.Leading, a.Epoch, a.Pending = true, ld.term.Revision, ld.pending()
 		a.Loaded = a.Pending != nil
-		a.StoreSilence = max(a.StoreSilence, ld.unconfirmed())
-		if p.Ready && c.settings.ProcessorShare < similarShare*p.Share {
-			ld.stepAside(p.Host)
+		a.StoreSilence = max(a.StoreSilence, ld.timeSinceConfirmedWrite())
+		if p.Ready && c.settings.ProcessorShare < minProcessorShareRatio*p.Share {
+			ld.yieldTo(p.Host)
 		}
 	}
 	return a, nil
 }
 
-// ping returns an error if the leader gave no answer.
-func (c *Coordinator) ping(ctx context.Context, t term) (pong, error) {
-	var a pong
+// pingLeader pings the leader of term t. It returns an error if there was no answer.
+func (c *Coordinator) pingLeader(ctx context.Context, t term) (pingAnswer, error) {
+	var a pingAnswer
 	sent := timekeeper.Now()
 	err := c.client(t.address()).Invoke(ctx, pingTimeout, methodPing,
-		&ping{Host: c.settings.Name, Epoch: t.Revision, Version: c.configVersion(), Share: c.settings.ProcessorShare, Ready: c.Ready()}, &a)
+		&pingRequest{Host: c.settings.Name, Epoch: t.Revision, Version: c.configVersion(), Share: c.settings.ProcessorShare, Ready: c.Ready()}, &a)
 	if err != nil {
-		return pong{}, err
+		return pingAnswer{}, err
 	}
-	c.newerConfiguration(a.Version)
+	c.refetchOlderConfiguration(a.Version)
 	if a.Leading && a.Loaded {
-		c.lastPending.Store(&pendingCount{byQueue: a.Pending, at: sent})
+		c.leaderPending.Store(&pendingCounts{byQueue: a.Pending, at: sent})
 	}
 	return a, nil
 }
 
-// localState answers from this host's own leadership.
+// localState answers for a job's state if this host is the leader.
 func (c *Coordinator) localState(id string) stateAnswer {
-	ld := c.leading()
+	ld := c.currentLeadership()
 	if ld == nil {
 		return stateAnswer{}
 	}
@@ -116,27 +117,27 @@
 	return stateAnswer{Leading: ready, Known: known, State: s}
 }
 
-var errNoLeader = errors.New("no leader is known")
+var errLeaderUnknown = errors.New("no leader is known")
 
-// askState asks the leader for a job's state.
-func (c *Coordinator) askState(ctx context.Context, id string) (stateAnswer, error) {
-	if c.leading() != nil {
+// requestState requests a job's state from the leader, which may be this host.
+func (c *Coordinator) requestState(ctx context.Context, id string) (stateAnswer, error) {
+	if c.currentLeadership() != nil {
 		return c.localState(id), nil
 	}
 	t, known := c.currentTerm()
 	if !known || !t.address().IsValid() {
-		return stateAnswer{}, errNoLeader
+		return stateAnswer{}, errLeaderUnknown
 	}
 	var a stateAnswer
-	err := c.client(t.address()).Invoke(ctx, messageTimeout, methodState, &stateRequest{ID: id}, &a)
+	err := c.client(t.address()).Invoke(ctx, leaderCallTimeout, methodState, &stateRequest{ID: id}, &a)
 	return a, err
 }
 
-// tell hands a notice to the leader. If it gets lost, the leader finds the change in
-// the store within catchUpEvery.
-func (c *Coordinator) tell(n notice) {
-	if ld := c.leading(); ld != nil {
-		ld.notice(n)
+// notifyLeader sends a notice to the leader without waiting for the answer. If the notice
+// is lost, the leader finds the change in the store within inputPollInterval.
+func (c *Coordinator) notifyLeader(n notice) {
+	if ld := c.currentLeadership(); ld != nil {
+		ld.handleNotice(n)
 		return
 	}
 	t, known := c.currentTerm()
@@ -144,7 +145,7 @@
 		return
 	}
 	go func() {
-		if err := c.client(t.address()).Invoke(context.Background(), messageTimeout, methodNotice, &n, &nothing{}); err != nil {
+		if err := c.client(t.address()).Invoke(context.Background(), leaderCallTimeout, methodNotice, &n, &emptyAnswer{}); err != nil {
 			c.log.Debug("NoticeLost", "Leader", t.Host, "Cause", err.Error())
 		}
 	}()
--- a/internal/coordinator/metrics.go
+++ b/internal/coordinator/metrics.go
@@ -12,20 +12,20 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// metrics are the counters and histograms of one host.
+// metrics are the Prometheus metrics of one host.
 type metrics struct {
-	registry      *prometheus.Registry
-	requests      *prometheus.HistogramVec
-	decisions     *prometheus.CounterVec
-	orders        *prometheus.HistogramVec
-	jobTime       *prometheus.HistogramVec
-	starts        prometheus.Counter
-	looks         prometheus.Counter
-	writes        prometheus.Counter
-	elections     prometheus.Counter
-	storeFailures prometheus.Counter
-	leading       prometheus.Gauge
-	configVersion prometheus.Gauge
+	registry        *prometheus.Registry
+	requestDuration *prometheus.HistogramVec
+	decisions       *prometheus.CounterVec
+	commandDuration *prometheus.HistogramVec
+	jobDuration     *prometheus.HistogramVec
+	taskStarts      prometheus.Counter
+	polls           prometheus.Counter
+	leaderWrites    prometheus.Counter
+	electionsWon    prometheus.Counter
+	storeFailures   prometheus.Counter
+	leading         prometheus.Gauge
+	configVersion   prometheus.Gauge
 }
 
 func newMetrics() *metrics {
@@ -39,43 +39,43 @@
 		return prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: "peridotpitch", Name: name, Help: help, Buckets: buckets}, labels)
 	}
 	m := &metrics{
-		registry:      prometheus.NewRegistry(),
-		requests:      histogram("request_seconds", "Time to answer callers, by call, queue and outcome.", prometheus.ExponentialBuckets(0.002, 2, 12), "call", "queue", "outcome"),
-		orders:        histogram("order_seconds", "Time until workers answer orders.", prometheus.ExponentialBuckets(0.001, 2, 10), "order"),
-		jobTime:       histogram("job_seconds", "Time from a job's submission to its final state, by queue and state.", prometheus.ExponentialBuckets(0.25, 2, 12), "queue", "state"),
-		decisions:     prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "peridotpitch", Name: "decisions_total", Help: "Decisions, by event."}, []string{"event"}),
-		starts:        counter("starts_total", "Starts of tasks sent to workers."),
-		looks:         counter("looks_total", "Looks that workers answered."),
-		writes:        counter("leader_writes_total", "Writes of the leader to the store."),
-		elections:     counter("elections_won_total", "Elections that this host won."),
-		storeFailures: counter("store_failures_total", "Calls to the store without an answer or with a refusal."),
-		leading:       gauge("leading", "1 while this host leads."),
-		configVersion: gauge("configuration_version", "Version of the configuration in force."),
+		registry:        prometheus.NewRegistry(),
+		requestDuration: histogram("request_seconds", "Time to answer callers, by call, queue and outcome.", prometheus.ExponentialBuckets(0.002, 2, 12), "call", "queue", "outcome"),
+		commandDuration: histogram("order_seconds", "Time until workers answer commands.", prometheus.ExponentialBuckets(0.001, 2, 10), "order"),
+		jobDuration:     histogram("job_seconds", "Time from a job's submission to its final state, by queue and state.", prometheus.ExponentialBuckets(0.25, 2, 12), "queue", "state"),
+		decisions:       prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "peridotpitch", Name: "decisions_total", Help: "Decisions, by event."}, []string{"event"}),
+		taskStarts:      counter("starts_total", "Start commands for tasks."),
+		polls:           counter("looks_total", "Polls that workers answered."),
+		leaderWrites:    counter("leader_writes_total", "Writes of the leader to the store."),
+		electionsWon:    counter("elections_won_total", "Elections that this host won."),
+		storeFailures:   counter("store_failures_total", "Calls to the store that failed, were rate-limited or have an unknown outcome."),
+		leading:         gauge("leading", "1 while this host leads."),
+		configVersion:   gauge("configuration_version", "Version of the configuration in effect."),
 	}
-	m.registry.MustRegister(m.requests, m.orders, m.jobTime, m.decisions, m.starts, m.looks, m.writes, m.elections, m.storeFailures, m.leading, m.configVersion)
+	m.registry.MustRegister(m.requestDuration, m.commandDuration, m.jobDuration, m.decisions, m.taskStarts, m.polls, m.leaderWrites, m.electionsWon, m.storeFailures, m.leading, m.configVersion)
 	return m
 }
 
-func (m *metrics) request(call, queue, outcome string, took time.Duration) {
-	m.requests.WithLabelValues(call, queue, outcome).Observe(took.Seconds())
+func (m *metrics) observeRequest(call, queue, outcome string, took time.Duration) {
+	m.requestDuration.WithLabelValues(call, queue, outcome).Observe(took.Seconds())
 }
 
-func (m *metrics) order(kind string, begin time.Time) {
-	m.orders.WithLabelValues(kind).Observe(time.Since(begin).Seconds())
+func (m *metrics) observeCommand(kind string, begin time.Time) {
+	m.commandDuration.WithLabelValues(kind).Observe(time.Since(begin).Seconds())
 }
 
-// metricsShutdown bounds the end of the metrics server.
-const metricsShutdown = 200 * time.Millisecond
+// metricsShutdownTimeout bounds the shutdown of the metrics server.
+const metricsShutdownTimeout = 200 * time.Millisecond
 
-// serve serves the metrics until ctx ends.
+// serve serves the metrics over HTTP until ctx is done.
 func (m *metrics) serve(ctx context.Context, address netip.AddrPort) error {
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{}))
 	s := &http.Server{Addr: address.String(), Handler: mux, ReadHeaderTimeout: time.Second}
 	stopped := context.AfterFunc(ctx, func() {
-		end, cancel := context.WithTimeout(context.Background(), metricsShutdown)
+		end, cancel := context.WithTimeout(context.Background(), metricsShutdownTimeout)
 		defer cancel()
-		_ = s.Shutdown(end) // scrapes in flight are cut at the end of the time
+		_ = s.Shutdown(end) // scrapes that exceed the timeout are cut off
 	})
 	defer stopped()
 	if err := s.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
--- /dev/null
+++ b/internal/coordinator/poller.go
@@ -0,0 +1,198 @@
+package coordinator
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"peridotpitch/internal/orchestrator"
+	"peridotpitch/internal/timekeeper"
+)
+
+const (
+	// maxPollWait is how long a worker may hold a poll until a run ends. Each poll renews
+	// the leases of the worker's runs.
+	maxPollWait = 1000 * time.Millisecond
+	// maxShortPollWait replaces maxPollWait while the worker's measurements are needed
+	// soon. It is half of the period that they cover.
+	maxShortPollWait = 500 * time.Millisecond
+	// pollRetryDelay is the pause after a failed poll.
+	pollRetryDelay = 250 * time.Millisecond
+	// maxAckWait is how long the next poll is delayed at most until ended runs are stored.
+	// Until they are acknowledged, a poll would return at once with the same ended runs.
+	maxAckWait = 160 * time.Millisecond
+	// ackChecks is the number of checks within maxAckWait.
+	ackChecks = 4
+	// commandSenders is the number of concurrent commands to one worker.
+	commandSenders = 2
+	// commandQueueSize bounds the commands that wait for one worker.
+	commandQueueSize = 256
+)
+
+// poller polls one worker and sends it commands.
+type poller struct {
+	ld       *leadership
+	target   Target
+	ctx      context.Context
+	cancel   context.CancelFunc
+	commands chan orchestrator.Action
+}
+
+// startPoller starts the poller of a worker. A poller with another address is replaced.
+// ld.mu must be held.
+func (ld *leadership) startPoller(w orchestrator.WorkerEntry) {
+	if p := ld.pollers[w.ID]; p != nil {
+		if p.target.Address == w.Address {
+			return
+		}
+		p.cancel()
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	p := &poller{ld: ld, target: Target{ID: w.ID, Address: w.Address}, ctx: ctx, cancel: cancel, commands: make(chan orchestrator.Action, commandQueueSize)}
+	ld.pollers[w.ID] = p
+	go p.run()
+	for range commandSenders {
+		go p.sendCommands()
+	}
+}
+
+// stopPoller stops the poller of a worker and closes its connections. ld.mu must be held.
+func (ld *leadership) stopPoller(id string) {
+	p := ld.pollers[id]
+	if p == nil {
+		return
+	}
+	p.cancel()
+	delete(ld.pollers, id)
+	go ld.c.deps.Workers.Forget(p.target.Address)
+}
+
+// enqueueCommand queues a command for a worker. If the worker has no poller or its queue is
+// full, the command is reported as not sent. ld.mu must be held.
+func (ld *leadership) enqueueCommand(id string, a orchestrator.Action) {
+	if p := ld.pollers[id]; p != nil {
+		select {
+		case p.commands <- a:
+			return
+		default:
+		}
+	}
+	go ld.reportNotSent(a)
+}
+
+// reportNotSent reports to the orchestrator that a command was not sent.
+func (ld *leadership) reportNotSent(a orchestrator.Action) {
+	switch a := a.(type) {
+	case orchestrator.StartRun:
+		ld.apply(orchestrator.StartAnswered{Worker: a.Worker, Task: a.Task, Run: a.Run, Outcome: orchestrator.StartNotSent})
+	case orchestrator.StopRun:
+		ld.apply(orchestrator.StopAnswered{Worker: a.Worker, Task: a.Task, Run: a.Run})
+	case orchestrator.PaceRun:
+		ld.apply(orchestrator.PaceAnswered{Worker: a.Worker, Task: a.Task, Run: a.Run, Percent: a.Percent})
+	}
+}
+
+// run polls the worker until the poller is cancelled or the orchestrator drops the worker.
+func (p *poller) run() {
+	ld := p.ld
+	for p.ctx.Err() == nil {
+		ld.mu.Lock()
+		r, ok := ld.orch.NextLook(p.target.ID, timekeeper.Now())
+		ld.mu.Unlock()
+		if !ok {
+			return
+		}
+		wait := maxPollWait
+		if r.Brief {
+			wait = maxShortPollWait
+		}
+		sent := timekeeper.Now()
+		a, err := ld.c.deps.Workers.Look(p.ctx, p.target, Look{Fence: ld.term.Revision, Deadline: r.Deadline, AckedUpto: r.AckedUpto, Wait: wait})
+		if p.ctx.Err() != nil {
+			return
+		}
+		if err != nil {
+			p.handlePollFailure(err)
+			continue
+		}
+		a.Worker, a.SentAt, a.ReceivedAt = p.target.ID, sent, timekeeper.Now()
+		ld.c.metrics.polls.Inc()
+		ld.apply(a)
+		if len(a.Ended) > 0 {
+			p.waitForAck()
+		}
+	}
+}
+
+// waitForAck waits until the ended runs of the last poll are stored, at most maxAckWait.
+func (p *poller) waitForAck() {
+	for range ackChecks {
+		sleep(p.ctx, maxAckWait/ackChecks)
+		p.ld.mu.Lock()
+		done := p.ld.orch.Acknowledged(p.target.ID)
+		p.ld.mu.Unlock()
+		if done {
+			return
+		}
+	}
+}
+
+func (p *poller) handlePollFailure(err error) {
+	f := orchestrator.LookFailed{Worker: p.target.ID}
+	var refused *RefusedError
+	if errors.As(err, &refused) {
+		f.Replaced, f.Fenced = refused.Replaced, refused.Fenced
+	}
+	p.ld.c.log.Debug("LookFailed", "Worker", p.target.ID, "Cause", err.Error())
+	p.ld.apply(f)
+	sleep(p.ctx, pollRetryDelay)
+}
+
+// sendCommands sends queued commands one after the other until the poller is cancelled.
+func (p *poller) sendCommands() {
+	for {
+		select {
+		case <-p.ctx.Done():
+			return
+		case a := <-p.commands:
+			p.send(a)
+		}
+	}
+}
+
+func (p *poller) send(a orchestrator.Action) {
+	ld, begin := p.ld, time.Now()
+	fence := ld.term.Revision
+	switch a := a.(type) {
+	case orchestrator.StartRun:
+		o := ld.c.deps.Workers.Start(p.ctx, p.target, fence, a)
+		ld.c.metrics.observeCommand("start", begin)
+		ld.apply(orchestrator.StartAnswered{Worker: a.Worker, Task: a.Task, Run: a.Run, Outcome: o})
+	case orchestrator.StopRun:
+		answered, fenced := commandResult(ld.c.deps.Workers.Stop(p.ctx, p.target, fence, a))
+		ld.c.metrics.observeCommand("stop", begin)
+		ld.apply(orchestrator.StopAnswered{Worker: a.Worker, Task: a.Task, Run: a.Run, Answered: answered, Fenced: fenced})
+	case orchestrator.PaceRun:
+		answered, _ := commandResult(ld.c.deps.Workers.Pace(p.ctx, p.target, fence, a))
+		ld.c.metrics.observeCommand("pace", begin)
+		ld.apply(orchestrator.PaceAnswered{Worker: a.Worker, Task: a.Task, Run: a.Run, Percent: a.Percent, Answered: answered})
+	}
+}
+
+// commandResult reports whether a command is settled, so that it need not be repeated, and
+// whether the worker refused it because of a later epoch.
+func commandResult(err error) (answered, fenced bool) {
+	var refused *RefusedError
+	if errors.As(err, &refused) {
+		return !refused.Replaced && !refused.Undone, refused.Fenced
+	}
+	return err == nil, false
+}
+
+func (ld *leadership) requestAdvice(a orchestrator.AskAdvice) {
+	answer, err := ld.c.deps.Workers.Advise(context.Background(), a)
+	if err != nil {
+		ld.c.log.Warn("AdviceFailed", "Step", a.Step, "Cause", err.Error())
+	}
+	ld.apply(answer)
+}
--- a/internal/coordinator/types.go
+++ b/internal/coordinator/types.go
@@ -19,7 +19,7 @@
 	MessageAddress netip.AddrPort
 	MetricsAddress netip.AddrPort
 	StoreAddress   netip.AddrPort
-	AdviceAddress  netip.AddrPort // invalid: no queue is advised
+	AdviceAddress  netip.AddrPort // invalid if there is no policy service
 
 	MaxLease        time.Duration
 	StatusRetention time.Duration
@@ -30,23 +30,24 @@
 	DrainTimeout   time.Duration
 }
 
-// Configuration is what the operators have put in force.
+// Configuration is the version of the operators' configuration that is in effect.
 type Configuration struct {
 	Version uint64
 	Queues  []Queue
-	MaxBody int // bytes of a submitted job
+	MaxBody int // largest accepted job, in bytes
 }
 
-// Queue takes jobs whose host is Host and whose path starts with Prefix.
+// Queue accepts submissions whose request host is Host and whose path starts with Prefix.
 type Queue struct {
 	Host    string
 	Prefix  string
 	Timeout time.Duration
-	MaxBody int // bytes; copied from the configuration
+	MaxBody int // bytes; copied from Configuration by route
 	Policy  orchestrator.Policy
 }
 
-// route returns the queue with the longest prefix, and the rest of the path.
+// route returns the matching queue with the longest prefix and the rest of the path. It
+// returns false if no queue matches.
 func (c *Configuration) route(host, path string) (Queue, string, bool) {
 	best := -1
 	for i, q := range c.Queues {
@@ -62,7 +63,7 @@
 	return q, path[len(q.Prefix):], true
 }
 
-// Outcome is the kind of an Answer.
+// Outcome classifies an Answer.
 type Outcome string
 
 // Outcomes of callers' requests.
@@ -71,8 +72,8 @@
 	OutcomeInvalid     Outcome = "invalid"
 	OutcomeUnknown     Outcome = "unknown"     // no such queue
 	OutcomeGone        Outcome = "gone"        // no such job
-	OutcomeUnavailable Outcome = "unavailable" // not done, and never will be
-	OutcomeUndecided   Outcome = "undecided"   // it may have been done
+	OutcomeUnavailable Outcome = "unavailable" // the request was not executed and will not be
+	OutcomeUndecided   Outcome = "undecided"   // the request may have been executed
 )
 
 // Answer is the outcome of a caller's request.
@@ -80,71 +81,73 @@
 	Outcome    Outcome
 	State      orchestrator.State
 	Reason     string
-	RetryAfter time.Duration // when a refused caller should come back
+	RetryAfter time.Duration // how long a refused caller should wait before it retries
 }
 
-// Jobs is what the callers' transport needs. *Coordinator implements it.
+// Jobs handles callers' requests about jobs. The callers' HTTP server uses it, *Coordinator
+// implements it.
 type Jobs interface {
-	// Ready reports whether the balancer should send callers to this host.
+	// Ready reports whether the load balancer should send requests to this host.
 	Ready() bool
 	// Leaving reports whether this host is shutting down.
 	Leaving() bool
-	// Configured reports whether a configuration is in force.
+	// Configured reports whether a configuration is in effect.
 	Configured() bool
-	// Route returns the queue of a request and the rest of its path.
+	// Route returns the queue of a request and the rest of its path, and false if there
+	// is no such queue. It must not be called before Configured reports true.
 	Route(host, path string) (Queue, string, bool)
-	// Submit stores a job. Submitting it again changes nothing.
+	// Submit stores a job. It is idempotent.
 	Submit(ctx context.Context, j orchestrator.Job) Answer
 	State(ctx context.Context, id string) Answer
 	Cancel(ctx context.Context, id string) Answer
-	// Pending returns the number of a queue's jobs of which no task has started, and
-	// false if it is not known.
+	// Pending returns the number of accepted jobs of a queue that have not started any
+	// task, and false if the leader's count is unknown or too old.
 	Pending(queue string) (int, bool)
 }
 
-// Target is one worker's address.
+// Target identifies a worker and its address.
 type Target struct {
 	ID      string
 	Address netip.AddrPort
 }
 
-// Look is a request for a worker's lists.
+// Look is a poll: a request for a worker's running and ended runs.
 type Look struct {
-	Fence     uint64
-	Deadline  time.Duration // new end of the leases on the worker's clock; 0: unchanged
-	AckedUpto int
-	Wait      time.Duration // for an end
+	Fence     uint64        // epoch of the leader
+	Deadline  time.Duration // new end of the run leases on the worker's clock; 0: unchanged
+	AckedUpto int           // ended runs up to this number are stored and need not be reported again
+	Wait      time.Duration // how long the worker may hold the poll until a run ends
 }
 
-// RefusedError says that a worker did not carry out an order.
+// RefusedError reports that a worker refused a command or a poll.
 type RefusedError struct {
-	Fenced   bool // it knows a newer leader
-	Replaced bool // another worker answers at the address
-	Undone   bool // the worker is unhealthy and has done nothing; the order must be repeated
+	Fenced   bool // the worker has accepted a later epoch
+	Replaced bool // another worker instance answers at the address
+	Undone   bool // the worker is unhealthy or busy and did nothing; the command must be repeated
 	Reason   string
 }
 
-func (e *RefusedError) Error() string { return fmt.Sprintf("order refused: %s", e.Reason) }
+func (e *RefusedError) Error() string { return fmt.Sprintf("worker refused the command: %s", e.Reason) }
 
-// Workers gives orders to workers and asks the outside policy. Errors that are no
-// *RefusedError leave open whether the order is carried out.
+// Workers sends commands and polls to workers, and queries the external policy service.
+// After an error that is not a *RefusedError, the command may or may not have been executed.
 type Workers interface {
 	Look(ctx context.Context, t Target, l Look) (orchestrator.LookAnswered, error)
 	Start(ctx context.Context, t Target, fence uint64, s orchestrator.StartRun) orchestrator.StartOutcome
 	Stop(ctx context.Context, t Target, fence uint64, s orchestrator.StopRun) error
 	Pace(ctx context.Context, t Target, fence uint64, p orchestrator.PaceRun) error
 	Advise(ctx context.Context, q orchestrator.AskAdvice) (orchestrator.Advised, error)
-	// Forget closes the connections to a worker that has gone.
+	// Forget closes the connections to a removed worker.
 	Forget(address netip.AddrPort)
 }
 
-// Decoder reads what others write to the store.
+// Decoder decodes store entries that other programs write.
 type Decoder interface {
 	Configuration(value []byte) (Configuration, error)
 	Worker(key string, value []byte) (orchestrator.WorkerEntry, error)
 }
 
-// Keys are the keys of the store that others write.
+// Keys are the store keys that other programs write.
 type Keys struct {
 	Configuration string
 	Workers       string // prefix
--- a/internal/coordinator/vocabulary_test.go
+++ b/internal/coordinator/vocabulary_test.go
@@ -14,8 +14,8 @@
 	"peridotpitch/internal/orchestrator"
 )
 
-// Guards against log lines that docs/OPERATIONS.md does not explain: the names of all
-// events must stand in its table.
+// Guards against log events that docs/OPERATIONS.md does not explain. Its table must list
+// the name of every event that is logged above the level debug.
 func TestEventsAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	if err != nil {
@@ -40,7 +40,8 @@
 	}
 }
 
-// loggedNames returns the first arguments of calls of a logger above the level debug.
+// loggedNames returns the messages of all logger calls above the level debug in the files
+// that match the patterns.
 func loggedNames(t *testing.T, patterns ...string) []string {
 	t.Helper()
 	var names []string
--- a/internal/coordinator/write.go
+++ b/internal/coordinator/write.go
@@ -13,41 +13,43 @@
 	"peridotpitch/internal/timekeeper"
 )
 
-func (ld *leader) writeSoon() {
+// wakeWriter makes runWriter write without waiting for its timer.
+func (ld *leadership) wakeWriter() {
 	select {
-	case ld.urgent <- struct{}{}:
+	case ld.writeWakeup <- struct{}{}:
 	default:
 	}
 }
 
-// write brings the orchestrator's changes to the store, and head at least every
-// headEvery.
-func (ld *leader) write(ctx context.Context) {
+// runWriter writes the orchestrator's changes to the store, and head at least every
+// headWriteInterval.
+func (ld *leadership) runWriter(ctx context.Context) {
 	t := time.NewTimer(0)
 	defer t.Stop()
 	for ctx.Err() == nil {
 		select {
-		case <-ld.urgent:
+		case <-ld.writeWakeup:
 		case <-t.C:
 		case <-ctx.Done():
 			return
 		}
-		pause := headEvery
+		pause := headWriteInterval
 		if !ld.writeBatch(ctx, false) {
-			pause = writeRetry
+			pause = writeRetryDelay
 		} else if ld.unwritten() {
-			pause = collectFor
+			pause = writeBatchDelay
 		}
 		t.Reset(pause)
 	}
 }
 
-// writeBatch writes the most urgent changes and reports whether that succeeded.
-func (ld *leader) writeBatch(ctx context.Context, all bool) bool {
+// writeBatch writes the most urgent changes and reports whether the call succeeded. all
+// includes changes that would otherwise wait for a later batch.
+func (ld *leadership) writeBatch(ctx context.Context, all bool) bool {
 	ld.writeMu.Lock()
 	defer ld.writeMu.Unlock()
 	ld.mu.Lock()
-	batch, _ := ld.o.NextBatch(batchLimit, all, timekeeper.Now())
+	batch, _ := ld.orch.NextBatch(maxBatchJobs, all, timekeeper.Now())
 	ld.mu.Unlock()
 	tx, err := ld.transaction(batch)
 	if err != nil {
@@ -56,47 +58,47 @@
 	}
 	sent := timekeeper.Now()
 	revision, err := ld.c.store.Commit(ctx, tx)
-	ld.c.metrics.writes.Inc()
+	ld.c.metrics.leaderWrites.Inc()
 	var conflict *storer.ConflictError
 	var unknown *storer.UnknownOutcomeError
 	switch {
 	case err == nil:
-		ld.head = revision
-		ld.confirmed(sent, batch)
-		if len(batch.Entries) == batchLimit {
-			ld.writeSoon()
+		ld.headRevision = revision
+		ld.recordConfirmedWrite(sent, batch)
+		if len(batch.Entries) == maxBatchJobs {
+			ld.wakeWriter()
 		}
 		return true
 	case errors.As(err, &conflict):
-		ld.settleConflict(conflict)
+		ld.resolveConflict(conflict)
 	case errors.As(err, &unknown):
-		ld.settleUnknown(ctx, tx, batch)
+		ld.resolveUnknownOutcome(ctx, tx, batch)
 	default:
 		ld.c.log.Debug("WriteRefused", "Cause", err.Error())
 	}
 	return false
 }
 
-func (ld *leader) confirmed(sent time.Time, batch orchestrator.Batch) {
-	ld.confirmedAt.Store(sent.UnixNano())
-	ld.step(orchestrator.Confirmed{SentAt: sent})
-	ld.step(orchestrator.Written{Batch: batch})
+func (ld *leadership) recordConfirmedWrite(sent time.Time, batch orchestrator.Batch) {
+	ld.lastConfirmedSent.Store(sent.UnixNano())
+	ld.apply(orchestrator.Confirmed{SentAt: sent})
+	ld.apply(orchestrator.Written{Batch: batch})
 }
 
-// unconfirmed returns how long ago the last write was sent that the store has taken.
-func (ld *leader) unconfirmed() time.Duration {
-	return timekeeper.Now().Sub(time.Unix(0, ld.confirmedAt.Load()))
+// timeSinceConfirmedWrite returns the time since the last confirmed write was sent.
+func (ld *leadership) timeSinceConfirmedWrite() time.Duration {
+	return timekeeper.Now().Sub(time.Unix(0, ld.lastConfirmedSent.Load()))
 }
 
-// transaction returns the write of a batch. Its head is unique, so that the leader can
-// tell afterwards whether it was executed.
-func (ld *leader) transaction(batch orchestrator.Batch) (storer.Transaction, error) {
-	head, err := msgpack.Marshal([]any{ld.c.process, timekeeper.Now().UnixNano()})
+// transaction returns the transaction that writes a batch. Its value of head is unique, so
+// that resolveUnknownOutcome can check whether it was executed.
+func (ld *leadership) transaction(batch orchestrator.Batch) (storer.Transaction, error) {
+	head, err := msgpack.Marshal([]any{ld.c.processID, timekeeper.Now().UnixNano()})
 	if err != nil {
 		return storer.Transaction{}, err
 	}
 	tx := storer.Transaction{
-		Conditions: []storer.Condition{{Key: keyTerm, Revision: ld.term.Revision}, {Key: keyHead, Revision: ld.head}},
+		Conditions: []storer.Condition{{Key: keyTerm, Revision: ld.term.Revision}, {Key: keyHead, Revision: ld.headRevision}},
 		Puts:       []storer.Entry{{Key: keyHead, Value: head}},
 	}
 	for _, e := range batch.Entries {
@@ -126,67 +128,69 @@
 		if err != nil {
 			return storer.Transaction{}, err
 		}
-		tx.Puts = append(tx.Puts, storer.Entry{Key: keyLearnt, Value: value})
+		tx.Puts = append(tx.Puts, storer.Entry{Key: keyWorkloadStatistics, Value: value})
 	}
 	return tx, nil
 }
 
-// settleConflict finds out whether another host was elected. Otherwise an earlier write
-// without an answer has been executed after all.
-func (ld *leader) settleConflict(conflict *storer.ConflictError) {
+// resolveConflict ends the leadership if another host was elected. Otherwise an earlier
+// write with an unknown outcome was executed, and its revision of head is adopted.
+func (ld *leadership) resolveConflict(conflict *storer.ConflictError) {
 	if r := conflict.Revision(keyTerm); r != ld.term.Revision {
-		ld.c.log.Warn("StepDown", "Epoch", ld.term.Revision, "Reason", errDeposed.Error(), "Found", r)
+		ld.c.log.Warn("StepDown", "Epoch", ld.term.Revision, "Reason", errOtherHostElected.Error(), "Found", r)
 		ld.cancel()
 		return
 	}
-	ld.head = conflict.Revision(keyHead)
+	ld.headRevision = conflict.Revision(keyHead)
 }
 
-// settleUnknown reads head back. If the write was executed, so was its batch. If not, it
-// can only be executed while head stays as it is, so that the next write settles it.
-func (ld *leader) settleUnknown(ctx context.Context, tx storer.Transaction, batch orchestrator.Batch) {
+// resolveUnknownOutcome reads head after a write with an unknown outcome. If head has the
+// value of the write, the batch was stored. If not, the write can only be executed while
+// head is unchanged, so the result of the next write shows whether it was.
+func (ld *leadership) resolveUnknownOutcome(ctx context.Context, tx storer.Transaction, batch orchestrator.Batch) {
 	sent := timekeeper.Now()
-	entries, _, err := ld.list(ctx, prefixLead)
+	entries, _, err := ld.list(ctx, prefixLeader)
 	if err != nil {
 		return
 	}
 	for _, e := range entries {
 		if e.Key == keyTerm && e.Revision != ld.term.Revision {
-			ld.c.log.Warn("StepDown", "Epoch", ld.term.Revision, "Reason", errDeposed.Error(), "Found", e.Revision)
+			ld.c.log.Warn("StepDown", "Epoch", ld.term.Revision, "Reason", errOtherHostElected.Error(), "Found", e.Revision)
 			ld.cancel()
 			return
 		}
 	}
 	for _, e := range entries {
 		if e.Key == keyHead && bytes.Equal(e.Value, tx.Puts[0].Value) {
-			ld.head = e.Revision
-			ld.confirmed(sent, batch)
+			ld.headRevision = e.Revision
+			ld.recordConfirmedWrite(sent, batch)
 		}
 	}
 }
 
-// stepAside hands the leadership over to a host with more processors, once.
-func (ld *leader) stepAside(host string) {
+// yieldTo starts a hand-over to a host with a larger processor share, at most once in a
+// term.
+func (ld *leadership) yieldTo(host string) {
 	ld.mu.Lock()
-	first := ld.loaded && !ld.aside && ld.o.KnowsRuns()
-	ld.aside = ld.aside || first
+	start := ld.loaded && !ld.yielding && ld.orch.KnowsRuns()
+	ld.yielding = ld.yielding || start
 	ld.mu.Unlock()
-	if !first {
+	if !start {
 		return
 	}
-	ld.c.log.Info("StepAside", "Epoch", ld.term.Revision, "For", host, "Reason", "it has more processors")
+	ld.c.log.Info("StepAside", "Epoch", ld.term.Revision, "For", host, "Reason", "the host has a larger processor share")
 	go ld.handOver(context.Background(), host)
 }
 
-// handOver stops all orders, writes every record and gives the leadership up, to a
-// preferred host if one is named.
-func (ld *leader) handOver(ctx context.Context, preferred string) {
-	ld.step(orchestrator.HandOver{})
+// handOver stops sending commands, writes all records and ends the leadership. preferred is
+// the host that should campaign first; it may be empty.
+func (ld *leadership) handOver(ctx context.Context, preferred string) {
+	ld.apply(orchestrator.HandOver{})
 	ld.mu.Lock()
-	clean := ld.loaded && ld.o.KnowsRuns()
-	ld.handing = true
-	for _, k := range ld.lookers {
-		k.cancel()
+	clean := ld.loaded && ld.orch.KnowsRuns()
+	ld.handingOver = true
+	for _, p := range ld.pollers {
+		p.cancel()
 	}
 	ld.mu.Unlock()
 	deadline := timekeeper.Now().Add(handOverTimeout)
@@ -195,24 +199,24 @@
 			continue
 		}
 		clean = timekeeper.Now().Before(deadline) && ctx.Err() == nil
-		sleep(ctx, writeRetry)
+		sleep(ctx, writeRetryDelay)
 	}
 	ld.vacate(ctx, clean, preferred)
 	ld.cancel()
-	<-ld.ended
+	<-ld.done
 }
 
-// handOverTimeout bounds the writes of a leader that leaves.
+// handOverTimeout bounds the time for the writes of a hand-over.
 const handOverTimeout = 1500 * time.Millisecond
 
-func (ld *leader) unwritten() bool {
+func (ld *leadership) unwritten() bool {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
-	return ld.o.Unwritten()
+	return ld.orch.Unwritten()
 }
 
-// vacate writes a term that names no leader.
-func (ld *leader) vacate(ctx context.Context, clean bool, preferred string) {
+// vacate writes a term without a leader.
+func (ld *leadership) vacate(ctx context.Context, clean bool, preferred string) {
 	value, err := msgpack.Marshal(&term{HandedOff: clean, Preferred: preferred, Share: ld.term.Share})
 	if err != nil {
 		ld.c.log.Error("HandOverFailed", "Cause", err.Error())
