--- a/internal/scheduler/action.go
+++ b/internal/scheduler/action.go
@@ -9,10 +9,10 @@
 	"peridotpitch/internal/recorder"
 )
 
-// Action is something that the caller does for a shard.
+// Action is an operation that the caller of Shard.Step must carry out.
 type Action interface{ action() }
 
-// WriteJournal asks for a compare-and-swap of the shard's journal. At most one is
+// WriteJournal requests a compare-and-swap of the shard's journal. At most one is
 // outstanding.
 type WriteJournal struct {
 	Value    []byte
@@ -20,18 +20,20 @@
 	Sequence uint64
 }
 
-// WriteRecords asks for the shard's records of ended jobs to be written.
+// WriteRecords requests a write of the shard's history of ended jobs.
 type WriteRecords struct{ Value []byte }
 
-// SendFence asks for a worker to be fenced.
+// SendFence requests that the owner's epoch be sent to a worker. A worker that accepts it
+// refuses the commands of earlier owners.
 type SendFence struct {
 	Worker  string
 	Address netip.AddrPort
 	Epoch   uint64
 }
 
-// SendCommands asks for commands to be sent to a worker. The caller checks right
-// before sending that Until has not passed, and reports NotSent otherwise.
+// SendCommands requests that commands be sent to a worker. Right before sending, the
+// caller checks that Until has not passed; otherwise it sends nothing and reports
+// CommandsAnswered.NotSent.
 type SendCommands struct {
 	Worker   string
 	Address  netip.AddrPort
@@ -40,15 +42,15 @@
 	Until    time.Time
 }
 
-// AskReport asks for a worker's inventory.
+// AskReport requests a worker's report, which lists its tasks.
 type AskReport struct {
 	Worker  string
 	Address netip.AddrPort
 }
 
 // AnswerSubmission answers a JobSubmitted or CancellationAsked. If Accepted is false and
-// Unknown is set, the change may be in the journal: a repetition with the same name is
-// safe.
+// Unknown is set, the stored journal may hold the change; the caller can safely repeat the
+// request with the same name.
 type AnswerSubmission struct {
 	Request  uint64
 	Accepted bool
@@ -57,13 +59,14 @@
 	Status   JobStatus
 }
 
-// AnswerImport says that the jobs of a moved shard are in this shard's journal.
+// AnswerImport reports that this shard's stored journal holds the jobs imported from the
+// shard From.
 type AnswerImport struct{ From string }
 
 // PublishEndpoints replaces the endpoints of the shard's service instances.
 type PublishEndpoints struct{ Endpoints []Endpoint }
 
-// Endpoint is a service instance that can take requests.
+// Endpoint is the address of a service instance that can take requests.
 type Endpoint struct {
 	Instance string
 	Service  string
@@ -73,7 +76,7 @@
 	Slowdown float64 // last measured interference slowdown, 0 if unknown
 }
 
-// Record is a decision to be logged and kept for explain.
+// Record is a decision to be logged and kept for the explain command.
 type Record struct {
 	Time       time.Time
 	ID         string // job, task or worker
--- a/internal/scheduler/command.go
+++ b/internal/scheduler/command.go
@@ -9,19 +9,22 @@
 	"peridotpitch/internal/recorder"
 )
 
-// drainGrace is how long a service instance may take to answer its requests.
-const drainGrace = 30 * time.Second
+// instanceDrainPeriod is the time that a stopping service instance has to answer the
+// requests it is serving.
+const instanceDrainPeriod = 30 * time.Second
 
-// commandOrder sorts commands of one message: a slot in a worker's table must be free before
-// its task starts again, and starts must not wait behind a burst of stops.
+// commandOrder is the order of commands in one message. Forget precedes Start because an
+// ended task must leave the worker's table before the task can start again; Stop comes
+// last so that a burst of stops does not delay starts.
 var commandOrder = map[commander.Verb]int{
 	commander.VerbForget: 0, commander.VerbStart: 1, commander.VerbRenew: 2,
 	commander.VerbCheckpoint: 3, commander.VerbThrottle: 4, commander.VerbStop: 5,
 }
 
-// sendCommands sends what the worker must do, if nothing is outstanding.
+// sendCommands sends the worker the commands that are due, unless a message with commands
+// is outstanding.
 func (s *Shard) sendCommands(w *worker, now time.Time) {
-	if w.sent != nil || !w.fenced || w.silent(now, silentAfter) {
+	if w.outstandingCommands != nil || !w.epochAccepted || w.unresponsive(now, unresponsiveTimeout) {
 		return
 	}
 	mayPlace := s.mayPlace(now)
@@ -29,24 +32,24 @@
 	until := now.Add(ServiceLease)
 	for _, name := range sortedNames(w.tasks) {
 		t := w.tasks[name]
-		c, ok := s.command(w, t, mayPlace, now)
+		c, ok := s.nextCommand(w, t, mayPlace, now)
 		if !ok {
 			continue
 		}
 		c.Task, c.Attempt, c.Kind, c.Class, c.Service = name, t.Attempt, t.kind, t.Spec.Class, t.service
 		cs = append(cs, c)
 		if t.kind == commander.KindBatch {
-			until = earlierOf(until, s.running)
+			until = earlierOf(until, s.runningUntil)
 		}
 	}
 	if mayPlace {
-		cs = append(cs, s.strayCommands(w, now)...)
+		cs = append(cs, s.unassignedTaskCommands(w, now)...)
 	}
 	slices.SortStableFunc(cs, func(a, b commander.Command) int {
-		return cmp.Or(cmp.Compare(commandOrder[a.Verb], commandOrder[b.Verb]), s.urgentFirst(a.Task, b.Task))
+		return cmp.Or(cmp.Compare(commandOrder[a.Verb], commandOrder[b.Verb]), s.compareUrgency(a.Task, b.Task))
 	})
-	if len(cs) > maxCommands {
-		cs = cs[:maxCommands]
+	if len(cs) > maxCommandsPerMessage {
+		cs = cs[:maxCommandsPerMessage]
 	}
 	if len(cs) == 0 {
 		return
@@ -54,11 +57,11 @@
 	for i, c := range cs {
 		cs[i].Incarnation = w.report.Incarnation
 		if c.Verb != commander.VerbRenew {
-			until = earlierOf(until, s.placing)
+			until = earlierOf(until, s.placingUntil)
 		}
 		s.markSent(w, c, now)
 	}
-	w.sent, w.sentAt = cs, now
+	w.outstandingCommands, w.commandsSentAt = cs, now
 	s.emit(SendCommands{Worker: w.name, Address: w.config.Address, Epoch: s.journal.Epoch, Commands: cs, Until: until})
 }
 
@@ -69,30 +72,31 @@
 	return a
 }
 
-func (s *Shard) urgentFirst(a, b string) int {
-	return cmp.Compare(s.rank(s.tasks[a]), s.rank(s.tasks[b]))
+// compareUrgency compares the tasks of the given names; urgent ones come first.
+func (s *Shard) compareUrgency(a, b string) int {
+	return cmp.Compare(s.urgencyRank(s.tasks[a]), s.urgencyRank(s.tasks[b]))
 }
 
-// rank is 0 for urgent tasks, 1 for others.
-func (s *Shard) rank(t *task) int {
+// urgencyRank returns 0 for an urgent task and 1 for any other.
+func (s *Shard) urgencyRank(t *task) int {
 	if t != nil && s.isUrgent(t) {
 		return 0
 	}
 	return 1
 }
 
-// command returns the next command for an assigned task.
-func (s *Shard) command(w *worker, t *task, mayPlace bool, now time.Time) (commander.Command, bool) {
-	valid := w.at(earlierOf(now.Add(commandValidity), s.placing))
+// nextCommand returns the next command for an assigned task, and false if none is due.
+func (s *Shard) nextCommand(w *worker, t *task, mayPlace bool, now time.Time) (commander.Command, bool) {
+	valid := w.toWorkerTime(earlierOf(now.Add(commandValidity), s.placingUntil))
 	switch {
 	case !mayPlace:
 		return s.renewal(w, t, now)
-	case t.State == JobStarting && !t.started:
+	case t.State == JobStarting && !t.startConfirmed:
 		if !s.mayStart(t, now) {
 			return commander.Command{}, false
 		}
 		c := commander.Command{
-			Verb: commander.VerbStart, Declared: s.declared(t), Duration: t.Spec.Duration,
+			Verb: commander.VerbStart, Declared: s.declaredSize(t), Duration: t.Spec.Duration,
 			Checkpoint: t.Checkpoint, LeaseEnd: s.leaseEnd(w, t, now), NotAfter: valid,
 		}
 		if v := s.serviceOf(t); v != nil {
@@ -100,90 +104,91 @@
 		}
 		return c, true
 	case t.State == JobCanceling || t.State == JobEvicting && s.mayStop(t, now):
-		if now.Sub(t.stopSent) > t.grace+2*time.Second {
-			return commander.Command{Verb: commander.VerbStop, Grace: t.grace, NotAfter: valid}, true
+		if now.Sub(t.stopSentAt) > t.gracePeriod+2*time.Second {
+			return commander.Command{Verb: commander.VerbStop, Grace: t.gracePeriod, NotAfter: valid}, true
 		}
 		if t.State == JobCanceling {
 			return commander.Command{}, false
 		}
-	case t.limit != t.limitSent:
-		return commander.Command{Verb: commander.VerbThrottle, Limit: t.limit, NotAfter: valid}, true
+	case t.throttleLimit != t.throttleLimitSent:
+		return commander.Command{Verb: commander.VerbThrottle, Limit: t.throttleLimit, NotAfter: valid}, true
 	}
 	return s.renewal(w, t, now)
 }
 
-// mayStart reports whether the start command may be sent: the journal holds the
-// assignment, or, while the store is unavailable, the job itself. In the second case a
-// later owner learns of the start from the worker's inventory.
+// mayStart reports whether the start command may be sent: the stored journal holds the
+// assignment or, while the store is unavailable, at least the job. In the second case a
+// later owner finds the started task in the worker's report.
 func (s *Shard) mayStart(t *task, now time.Time) bool {
-	if now.Sub(t.startSent) < resendAfter || now.Add(silentAfter).After(s.running) && t.kind == commander.KindBatch {
+	if now.Sub(t.startSentAt) < startResendInterval || now.Add(unresponsiveTimeout).After(s.runningUntil) && t.kind == commander.KindBatch {
 		return false
 	}
-	return t.changed <= s.durable || s.storeDown && t.submitted <= s.durable
+	return t.changedVersion <= s.durableVersion || s.storeUnavailable && t.submittedVersion <= s.durableVersion
 }
 
-// renewal returns the renewal of a task's lease if one is due.
+// renewal returns the command that renews a task's lease, and false if none is due.
 func (s *Shard) renewal(w *worker, t *task, now time.Time) (commander.Command, bool) {
-	every, ends := renewEvery, earlierOf(now.Add(commandValidity), s.running)
+	every, ends := batchRenewalInterval, earlierOf(now.Add(commandValidity), s.runningUntil)
 	if t.kind == commander.KindService {
-		every, ends = renewServices, now.Add(commandValidity)
+		every, ends = serviceRenewalInterval, now.Add(commandValidity)
 	}
-	if !t.started || t.State == JobCanceling || now.Sub(t.renewSent) < every || !now.Before(ends) {
+	if !t.startConfirmed || t.State == JobCanceling || now.Sub(t.renewSentAt) < every || !now.Before(ends) {
 		return commander.Command{}, false
 	}
-	return commander.Command{Verb: commander.VerbRenew, LeaseEnd: s.leaseEnd(w, t, now), NotAfter: w.at(ends)}, true
+	return commander.Command{Verb: commander.VerbRenew, LeaseEnd: s.leaseEnd(w, t, now), NotAfter: w.toWorkerTime(ends)}, true
 }
 
-// leaseEnd returns the end of a new lease in the worker's clock.
+// leaseEnd returns the end of a lease granted now, in the worker's clock.
 func (s *Shard) leaseEnd(w *worker, t *task, now time.Time) commander.WorkerTime {
 	if t.kind == commander.KindService {
-		return w.at(now.Add(ServiceLease))
+		return w.toWorkerTime(now.Add(ServiceLease))
 	}
-	return w.at(earlierOf(now.Add(LeaseDuration), s.running))
+	return w.toWorkerTime(earlierOf(now.Add(BatchLeaseDuration), s.runningUntil))
 }
 
-// markSent records that a command may reach the worker.
+// markSent records that a command was sent and may take effect on the worker.
 func (s *Shard) markSent(w *worker, c commander.Command, now time.Time) {
 	t := w.tasks[c.Task]
 	if t == nil || t.Attempt != c.Attempt {
-		if o := w.foreign[strayKey(commander.TaskReport{Task: c.Task, Attempt: c.Attempt})]; o != nil {
-			o.stopSent = now
+		if o := w.unassigned[attemptKey(commander.TaskReport{Task: c.Task, Attempt: c.Attempt})]; o != nil {
+			o.commandSentAt = now
 		}
 		return
 	}
-	lease := LeaseDuration
+	lease := BatchLeaseDuration
 	if t.kind == commander.KindService {
 		lease = ServiceLease
 	}
 	switch c.Verb {
 	case commander.VerbStart:
-		t.sent, t.startSent, t.renewSent = true, now, now
+		t.maybeStarted, t.startSentAt, t.renewSentAt = true, now, now
 		t.leaseUntil = laterOf(t.leaseUntil, now.Add(lease))
 	case commander.VerbRenew:
-		t.renewSent = now
+		t.renewSentAt = now
 		t.leaseUntil = laterOf(t.leaseUntil, now.Add(lease))
 	case commander.VerbStop:
-		t.stopSent = now
+		t.stopSentAt = now
 	case commander.VerbThrottle:
-		t.limitSent = c.Limit
+		t.throttleLimitSent = c.Limit
 	}
 }
 
-// strayCommands stops old attempts and clears ended tasks from the worker's table.
-func (s *Shard) strayCommands(w *worker, now time.Time) []commander.Command {
+// unassignedTaskCommands returns the commands that stop earlier attempts and that remove
+// ended tasks from the worker's table.
+func (s *Shard) unassignedTaskCommands(w *worker, now time.Time) []commander.Command {
 	var cs []commander.Command
-	for _, o := range w.foreign {
+	for _, o := range w.unassigned {
 		tr := o.report
 		c := commander.Command{
 			Task: tr.Task, Attempt: tr.Attempt, Kind: tr.Kind, Class: tr.Class, Service: tr.Service,
-			NotAfter: w.at(earlierOf(now.Add(commandValidity), s.placing)),
+			NotAfter: w.toWorkerTime(earlierOf(now.Add(commandValidity), s.placingUntil)),
 		}
 		switch {
-		case now.Sub(o.stopSent) < 2*time.Second:
+		case now.Sub(o.commandSentAt) < 2*time.Second:
 			continue
 		case !tr.State.Active() && s.mayForget(w, tr, now):
 			c.Verb = commander.VerbForget
-		case tr.State.Active() && o.known:
+		case tr.State.Active() && o.stale:
 			c.Verb = commander.VerbStop
 		default:
 			continue
@@ -196,50 +201,51 @@
 	return cs
 }
 
-// mayForget reports whether the journal holds the end of a task and no start command
-// for it is on its way: the worker recognizes a repeated start by the listed task.
+// mayForget reports whether the worker may drop an ended task from its table: the stored
+// journal holds the end, and no start command for the task can still arrive. The worker
+// recognizes a repeated start only while it lists the task.
 func (s *Shard) mayForget(w *worker, tr commander.TaskReport, now time.Time) bool {
-	if now.Before(w.settledAt) || s.inherited {
+	if now.Before(w.commandsSettledAt) || s.recoveryPending {
 		return false
 	}
 	t := s.tasks[tr.Task]
-	return t == nil || t.changed <= s.durable
+	return t == nil || t.changedVersion <= s.durableVersion
 }
 
-// commandsAnswered takes the outcome of the outstanding commands.
-func (s *Shard) commandsAnswered(e CommandsAnswered, now time.Time) {
+// handleCommandsAnswered applies the results of the outstanding commands.
+func (s *Shard) handleCommandsAnswered(e CommandsAnswered, now time.Time) {
 	w := s.workers[e.Worker]
-	if w == nil || w.sent == nil {
+	if w == nil || w.outstandingCommands == nil {
 		return
 	}
-	sent := w.sent
+	sent := w.outstandingCommands
 	if e.Unreachable || !e.NotSent && len(e.Results) != len(sent) {
-		w.unsettle()
+		w.markOutcomeUnknown()
 		return
 	}
-	w.sent, w.settledAt = nil, laterOf(w.settledAt, now)
+	w.outstandingCommands, w.commandsSettledAt = nil, laterOf(w.commandsSettledAt, now)
 	if e.NotSent {
 		return
 	}
-	w.heardAt = now
+	w.lastResponseAt = now
 	for i, c := range sent {
 		if t := w.tasks[c.Task]; t != nil && t.Attempt == c.Attempt {
-			s.answered(t, c, e.Results[i], now)
+			s.applyResult(t, c, e.Results[i], now)
 		}
 	}
 }
 
-// answered takes the outcome of one command.
-func (s *Shard) answered(t *task, c commander.Command, r commander.Result, now time.Time) {
+// applyResult applies the result of one command to its task.
+func (s *Shard) applyResult(t *task, c commander.Command, r commander.Result, now time.Time) {
 	switch {
 	case c.Verb == commander.VerbStart && r.Done:
-		t.started = true
+		t.startConfirmed = true
 		if t.State == JobStarting {
-			s.becomeRunning(t, now)
+			s.markRunning(t, now)
 		}
 	case c.Verb == commander.VerbStart:
-		t.refused++
+		t.refusedStarts++
 		t.lastReason = r.Reason
-		s.note(Record{ID: t.Spec.Name, Kind: recorder.KindRefuse, Rule: "StartRefused", Worker: t.Worker, Cause: r.Reason}, now)
+		s.recordDecision(Record{ID: t.Spec.Name, Kind: recorder.KindRefuse, Rule: "StartRefused", Worker: t.Worker, Cause: r.Reason}, now)
 	}
 }
--- a/internal/scheduler/event.go
+++ b/internal/scheduler/event.go
@@ -7,54 +7,53 @@
 	"peridotpitch/internal/configurator"
 )
 
-// Event is something that happened to a shard. Times are the caller's.
+// Event is an input of Shard.Step. Times are readings of the caller's clock.
 type Event interface{ event() }
 
 // ConfigurationChanged puts a configuration into effect.
 type ConfigurationChanged struct{ Configuration *configurator.Configuration }
 
-// Claimed starts ownership: the journal that the claim wrote, and the value of the
-// shard's records key, which may be empty.
+// Claimed starts the ownership. Journal is the journal that the claim wrote; Records is
+// the stored history of ended jobs and may be empty.
 type Claimed struct {
 	Journal Journal
 	Records []byte
 }
 
-// TenureChanged tells until when the owner may act.
+// TenureChanged carries the ends of the ownership lease.
 type TenureChanged struct {
-	Placing time.Time
-	Running time.Time
-	// EarlierEnds is when the running tenure of every earlier owner has ended for
-	// certain; the zero time means that it is not known yet.
+	Placing time.Time // until when the owner may start, stop and evict tasks
+	Running time.Time // until when the owner may extend the leases of running batch tasks
+	// EarlierEnds is the time by which every earlier owner's lease for running tasks has
+	// ended; zero until it is known.
 	EarlierEnds time.Time
 }
 
-// SuccessorsChanged names the hosts that may claim the shard. They are written to the
-// journal with the next change.
+// SuccessorsChanged names the hosts that may claim the shard after this owner. The next
+// journal write includes them.
 type SuccessorsChanged struct{ Placing, Running []string }
 
-// JobSubmitted asks for a job to be run. The answer is an AnswerSubmission with the
-// same Request.
+// JobSubmitted submits a job. The answer is an AnswerSubmission with the same Request.
 type JobSubmitted struct {
 	Request uint64
 	Spec    JobSpec
 }
 
-// CancellationAsked asks for a job to be ended. The answer is an AnswerSubmission with the
-// same Request.
+// CancellationAsked requests the cancellation of a job. The answer is an AnswerSubmission
+// with the same Request.
 type CancellationAsked struct {
 	Request uint64
 	Name    string
 }
 
-// JobsImported adds the jobs of a journal that was moved to this shard. The answer is
-// an AnswerImport once they are in this shard's journal.
+// JobsImported adds the jobs of another shard's journal, which this shard takes over. The
+// answer is an AnswerImport once this shard's stored journal holds them.
 type JobsImported struct {
-	From string // moved shard
+	From string // shard whose jobs are taken over
 	Jobs []JobEntry
 }
 
-// WorkerFenced is a worker's acceptance of the owner's epoch.
+// WorkerFenced reports that a worker has accepted the owner's epoch.
 type WorkerFenced struct {
 	Worker             string
 	Epoch              uint64
@@ -62,27 +61,28 @@
 	SentAt, ReceivedAt time.Time
 }
 
-// ReportArrived is a worker's answer to AskReport.
+// ReportArrived carries a worker's answer to AskReport.
 type ReportArrived struct {
 	Worker             string
 	Report             commander.Report
 	SentAt, ReceivedAt time.Time
 }
 
-// WorkerSilent says that SendFence or AskReport got no answer.
+// WorkerSilent reports that SendFence or AskReport got no answer.
 type WorkerSilent struct {
 	Worker string
 	Reason string
 }
 
-// WorkerRejected says that the worker has accepted a higher epoch.
+// WorkerRejected reports that the worker has accepted a higher epoch.
 type WorkerRejected struct {
 	Worker string
 	Epoch  uint64
 }
 
-// CommandsAnswered is the outcome of a SendCommands. Unreachable means that the
-// commands may have taken effect; NotSent that they did not leave this host.
+// CommandsAnswered is the outcome of a SendCommands. Unreachable means that no answer
+// came and the commands may have taken effect; NotSent means that they did not leave this
+// host.
 type CommandsAnswered struct {
 	Worker      string
 	Results     []commander.Result
@@ -90,38 +90,39 @@
 	NotSent     bool
 }
 
-// JournalWritten says that the store holds the journal of the given sequence.
+// JournalWritten reports that the store holds the journal with the given sequence number.
 type JournalWritten struct{ Sequence uint64 }
 
-// JournalFailed says that the write did not take effect. The next one is sent after
-// Retry.
+// JournalFailed reports that the write did not take effect. The shard emits no further
+// write before Retry has passed.
 type JournalFailed struct {
 	Sequence uint64
 	Retry    time.Duration
 	Reason   string
 }
 
-// JournalUnknown says that the answer to the write was lost. The caller reads the
+// JournalUnknown reports that the answer to the write was lost. The caller reads the
 // journal back and then reports JournalWritten, JournalFailed or JournalLost.
 type JournalUnknown struct{ Sequence uint64 }
 
-// JournalLost says that another owner has written the journal. The shard does nothing
-// any more.
+// JournalLost reports that another owner has written the journal. From then on the shard
+// only rejects submissions and cancellations.
 type JournalLost struct{ Owner string }
 
 // RecordsWritten is the outcome of a WriteRecords.
 type RecordsWritten struct{ Done bool }
 
-// HostLeaving says whether a worker is leaving.
+// HostLeaving reports whether a worker is leaving.
 type HostLeaving struct {
 	Worker  string
 	Leaving bool
 }
 
-// Released asks for the shard to be given up in writing, for a planned stop.
+// Released requests that the shard release its ownership with the next journal write, for
+// a planned stop of the host.
 type Released struct{}
 
-// Tick makes the shard act on the time that has passed. It is sent every TickInterval.
+// Tick triggers the decisions that depend on time. The caller sends it every TickInterval.
 type Tick struct{}
 
 func (ConfigurationChanged) event() {}
--- a/internal/scheduler/instance.go
+++ b/internal/scheduler/instance.go
@@ -14,16 +14,17 @@
 	"peridotpitch/internal/recorder"
 )
 
-// slot is one wanted instance of a service.
-type slot struct {
+// instanceKey identifies a configured instance of a service within the failure domain.
+// The tasks that replace each other as this instance share the key.
+type instanceKey struct {
 	service string
 	index   int
 }
 
-func (t *task) slot() slot { return slot{t.service, t.index} }
+func (t *task) instanceKey() instanceKey { return instanceKey{t.service, t.index} }
 
-// shardsOf returns the shards of a failure domain, sorted.
-func shardsOf(c *configurator.Configuration, domain string) []string {
+// shardsInDomain returns the shards of a failure domain, sorted.
+func shardsInDomain(c *configurator.Configuration, domain string) []string {
 	var shards []string
 	for _, w := range c.Workers {
 		if name := w.FailureDomain + "/" + w.Shard; w.FailureDomain == domain && !slices.Contains(shards, name) {
@@ -34,51 +35,52 @@
 	return shards
 }
 
-// wanted returns the instances that this shard must run: the failure domain's count is
-// dealt out to its shards in turn.
-func (s *Shard) wanted() map[slot]*configurator.Service {
-	shards := shardsOf(s.config, s.settings.FailureDomain)
-	want := make(map[slot]*configurator.Service)
+// desiredInstances returns the instances that this shard must run. The instances of a
+// failure domain are assigned to its shards round-robin, from an offset that depends on
+// the service's name.
+func (s *Shard) desiredInstances() map[instanceKey]*configurator.Service {
+	shards := shardsInDomain(s.config, s.settings.FailureDomain)
+	want := make(map[instanceKey]*configurator.Service)
 	for i := range s.config.Services {
 		v := &s.config.Services[i]
 		offset := int(xxhash.Sum64String(v.Name) % uint64(max(1, len(shards))))
 		for k := range v.Instances[s.settings.FailureDomain] {
 			if len(shards) > 0 && shards[(offset+k)%len(shards)] == s.settings.Shard {
-				want[slot{v.Name, k}] = v
+				want[instanceKey{v.Name, k}] = v
 			}
 		}
 	}
 	return want
 }
 
-// reconcile starts missing instances and retires those that are not wanted.
+// reconcile adds missing instances and retires those that are no longer desired.
 func (s *Shard) reconcile(now time.Time) {
 	if s.phase != phaseOwned || s.config == nil {
 		return
 	}
-	want := s.wanted()
-	have := make(map[slot]bool)
-	for _, t := range s.selected(func(t *task) bool { return t.kind == commander.KindService }) {
-		if want[t.slot()] == nil || have[t.slot()] && !t.retiring {
-			s.retire(t, "not wanted any more", now)
+	want := s.desiredInstances()
+	have := make(map[instanceKey]bool)
+	for _, t := range s.selectTasks(func(t *task) bool { return t.kind == commander.KindService }) {
+		if want[t.instanceKey()] == nil || have[t.instanceKey()] && !t.retiring {
+			s.retire(t, "instance is not configured for this shard or is a duplicate", now)
 		}
-		if t.Spec.Declared == (configurator.Resources{}) && want[t.slot()] != nil {
-			t.Spec.Declared, t.Spec.Class = want[t.slot()].Size, want[t.slot()].Class
+		if t.Spec.Declared == (configurator.Resources{}) && want[t.instanceKey()] != nil {
+			t.Spec.Declared, t.Spec.Class = want[t.instanceKey()].Size, want[t.instanceKey()].Class
 		}
 		if !t.retiring {
-			have[t.slot()] = true
+			have[t.instanceKey()] = true
 		}
 	}
 	for k, v := range want {
-		if !have[k] && !now.Before(s.retrySlots[k]) && !s.storeDown {
+		if !have[k] && !now.Before(s.instanceRetryAt[k]) && !s.storeUnavailable {
 			s.addInstance(k, v, now)
 		}
 	}
 }
 
-// addInstance lists a new instance. Its name contains the journal's sequence, so that
-// it never equals that of an earlier instance that a worker may still list.
-func (s *Shard) addInstance(k slot, v *configurator.Service, now time.Time) {
+// addInstance adds a new instance. Its name contains the journal's sequence number and
+// so differs from the name of any earlier instance that a worker may still list.
+func (s *Shard) addInstance(k instanceKey, v *configurator.Service, now time.Time) {
 	name := fmt.Sprintf("%s.%s.%d.%d", k.service, s.settings.FailureDomain, k.index, s.journal.Sequence+1)
 	if s.tasks[name] != nil {
 		return
@@ -88,39 +90,41 @@
 	t.State, t.Submitted = JobPending, now
 	s.tasks[name] = t
 	s.version++
-	t.submitted, t.changed = s.version, s.version
+	t.submittedVersion, t.changedVersion = s.version, s.version
 }
 
-// retire marks an instance that must go. One that was never started goes at once.
+// retire marks an instance for replacement or removal. An instance for which no start was
+// sent is removed at once.
 func (s *Shard) retire(t *task, cause string, now time.Time) {
 	if t.retiring {
 		return
 	}
-	if !t.sent {
-		s.remove(t)
+	if !t.maybeStarted {
+		s.removeInstance(t)
 		return
 	}
-	t.retiring, t.retireAt, t.grace, t.State = true, now, drainGrace, JobEvicting
-	s.change(t)
-	s.note(Record{ID: t.Spec.Name, Kind: recorder.KindDrain, Rule: "ReplaceThenStop", Cause: cause, Worker: t.Worker}, now)
+	t.retiring, t.retiringSince, t.gracePeriod, t.State = true, now, instanceDrainPeriod, JobEvicting
+	s.markChanged(t)
+	s.recordDecision(Record{ID: t.Spec.Name, Kind: recorder.KindDrain, Rule: "ReplaceThenStop", Cause: cause, Worker: t.Worker}, now)
 }
 
-// mayStop reports whether a task that must go may be stopped: an instance waits for its
-// replacement, for a bounded time.
+// mayStop reports whether an evicted task or a retiring instance may be stopped. An
+// instance that is still desired is stopped once its replacement is running, but at the
+// latest after retirementTimeout.
 func (s *Shard) mayStop(t *task, now time.Time) bool {
-	if t.kind != commander.KindService || now.Sub(t.retireAt) > retireWithin || s.wanted()[t.slot()] == nil {
+	if t.kind != commander.KindService || now.Sub(t.retiringSince) > retirementTimeout || s.desiredInstances()[t.instanceKey()] == nil {
 		return true
 	}
 	for _, o := range s.tasks {
-		if o.kind == commander.KindService && o.slot() == t.slot() && !o.retiring && o.report.State == commander.TaskRunning && o.report.Address != "" {
+		if o.kind == commander.KindService && o.instanceKey() == t.instanceKey() && !o.retiring && o.report.State == commander.TaskRunning && o.report.Address != "" {
 			return true
 		}
 	}
 	return false
 }
 
-// publish sends the endpoints if they have changed.
-func (s *Shard) publish() {
+// publishEndpoints emits the endpoints of running instances if they have changed.
+func (s *Shard) publishEndpoints() {
 	var es []Endpoint
 	for _, t := range s.tasks {
 		if t.kind != commander.KindService || t.report.State != commander.TaskRunning {
@@ -132,7 +136,7 @@
 		}
 		es = append(es, Endpoint{
 			Instance: t.Spec.Name, Service: t.service, Worker: t.Worker, Address: a,
-			Draining: t.retiring && !t.stopSent.IsZero(), Slowdown: t.report.Slowdown,
+			Draining: t.retiring && !t.stopSentAt.IsZero(), Slowdown: t.report.Slowdown,
 		})
 	}
 	slices.SortFunc(es, func(a, b Endpoint) int { return cmp.Compare(a.Instance, b.Instance) })
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -9,8 +9,8 @@
 // JobState is the state of a job.
 type JobState string
 
-// Job states. Rejected jobs can never run; the reason and the nearest size that would
-// fit are in the job's last decision.
+// Job states. A rejected job can never run; its last decision names the reason and the
+// nearest size that would fit.
 const (
 	JobPending   JobState = "pending"
 	JobStarting  JobState = "starting"
@@ -28,17 +28,17 @@
 	return s == JobFinished || s == JobFailed || s == JobCancelled || s == JobRejected
 }
 
-// JobSpec is a job as submitted. Name is unique and makes a submission idempotent.
+// JobSpec is a job as submitted. Name is unique, so a repeated submission is idempotent.
 type JobSpec struct {
 	Name     string
 	Class    string
 	Team     string
 	Urgent   bool
-	Declared configurator.Resources // zero: the class's size
-	Duration time.Duration          // of work; used by the stand-in worker only
+	Declared configurator.Resources // zero means the size of the job class
+	Duration time.Duration          // amount of work; used only by the emulated worker
 }
 
-// JobStatus is a job as shown to operators.
+// JobStatus is the status of a job as shown to operators.
 type JobStatus struct {
 	Spec       JobSpec
 	State      JobState
@@ -50,5 +50,5 @@
 	Submitted  time.Time
 	Started    time.Time
 	Ended      time.Time
-	Decision   string // last decision in words
+	Decision   string // description of the last decision
 }
--- a/internal/scheduler/journal.go
+++ b/internal/scheduler/journal.go
@@ -7,30 +7,32 @@
 )
 
 const (
-	// JournalVersion is the version of the encoding that this program writes.
+	// JournalVersion is the version of the journal encoding that this program reads and
+	// writes.
 	JournalVersion = 1
-	// MaxJournalSize bounds the encoded journal, in bytes. It leaves room below the
-	// store's limit of 1 MB for changes of state of the jobs already listed.
+	// MaxJournalSize is the encoded size, in bytes, from which no new job is accepted. The
+	// difference to the store's limit of 1 MB is for state changes of the listed jobs.
 	MaxJournalSize = 900 << 10
-	// maxDecodedJournal is the largest value that is decoded, in bytes.
-	maxDecodedJournal = 1 << 20
+	// maxDecodedJournalBytes is the size of the largest value that is decoded.
+	maxDecodedJournalBytes = 1 << 20
 )
 
-// Journal is the durable state of a shard.
+// Journal is the state of a shard that is kept in the store.
 type Journal struct {
 	Version    int
 	Shard      string
-	Owner      string // empty: given up, or never owned
+	Owner      string // empty if the shard was released or never owned
 	Epoch      uint64
 	Renewal    uint64
-	Writer     string // process that wrote the value
-	Sequence   uint64 // of the write, increases by one with each
+	Writer     string // identity of the process that wrote the value
+	Sequence   uint64 // number of the write; increases by one with each write
 	Successors []string
-	// RunningSuccessors are the hosts of the successor failure domain.
+	// RunningSuccessors are the hosts of the successor failure domain, which may take over
+	// the jobs.
 	RunningSuccessors []string
 	MovedTo           string `json:",omitempty"` // shard that takes over the jobs
-	// Moved names the shards that took over jobs, so that a repeated submission does
-	// not run a job a second time.
+	// Moved maps names of jobs to the shards that took them over, so that a repeated
+	// submission does not run a job a second time.
 	Moved     map[string]string `json:",omitempty"`
 	Jobs      []JobEntry
 	Instances []InstanceEntry
@@ -61,7 +63,7 @@
 	Retiring bool `json:",omitempty"`
 }
 
-// JournalError says why a journal value was rejected.
+// JournalError reports why a journal could not be decoded or encoded.
 type JournalError struct {
 	Shard  string
 	Size   int // bytes
@@ -78,8 +80,8 @@
 	reject := func(format string, args ...any) (Journal, error) {
 		return Journal{}, &JournalError{Shard: shard, Size: len(value), Reason: fmt.Sprintf(format, args...)}
 	}
-	if len(value) > maxDecodedJournal {
-		return reject("larger than %d bytes", maxDecodedJournal)
+	if len(value) > maxDecodedJournalBytes {
+		return reject("larger than %d bytes", maxDecodedJournalBytes)
 	}
 	var j Journal
 	if err := json.Unmarshal(value, &j); err != nil {
@@ -89,11 +91,11 @@
 		return reject("version %d, this program reads version %d", j.Version, JournalVersion)
 	}
 	if j.Shard != shard {
-		return reject("it is the journal of shard %q", j.Shard)
+		return reject("value belongs to shard %q", j.Shard)
 	}
 	seen := make(map[string]bool, len(j.Jobs))
 	for _, b := range j.Jobs {
-		if reason := b.check(); reason != "" {
+		if reason := b.invalidReason(); reason != "" {
 			return reject("job %q: %s", b.Spec.Name, reason)
 		}
 		if seen[b.Spec.Name] {
@@ -104,15 +106,15 @@
 	tasks := make(map[string]bool, len(j.Instances))
 	for _, i := range j.Instances {
 		if i.Task == "" || i.Service == "" || i.Attempt < 0 || tasks[i.Task] {
-			return reject("instance %q is not valid", i.Task)
+			return reject("instance %q: empty name or service, negative attempt, or listed twice", i.Task)
 		}
 		tasks[i.Task] = true
 	}
 	return j, nil
 }
 
-// check returns why the entry is not valid, or "".
-func (b *JobEntry) check() string {
+// invalidReason returns why the entry is not valid, or "" if it is valid.
+func (b *JobEntry) invalidReason() string {
 	switch b.State {
 	case JobStarting, JobRunning, JobEvicting:
 		if b.Worker == "" {
@@ -124,14 +126,14 @@
 	}
 	switch {
 	case b.Spec.Name == "":
-		return "no name"
+		return "empty name"
 	case b.Attempt < 0 || b.Evictions < 0 || b.Failures < 0:
-		return "negative count"
+		return "negative number of attempts, evictions or failures"
 	}
 	return ""
 }
 
-// Encode returns the journal's value in the store.
+// Encode returns the journal's encoding as stored, with Version set to JournalVersion.
 func (j *Journal) Encode() ([]byte, error) {
 	j.Version = JournalVersion
 	value, err := json.Marshal(j)
@@ -141,15 +143,16 @@
 	return value, nil
 }
 
-// Empty removes the jobs of a journal that another shard has imported. Their names are
-// kept, so that a repeated submission is refused.
+// Empty turns j into the next journal of a shard whose jobs another shard has imported.
+// The jobs are removed, their names are kept in Moved so that a repeated submission is
+// refused, and the owner is cleared.
 func (j *Journal) Empty(writer string) {
 	moved := make(map[string]string, len(j.Jobs))
 	for _, b := range j.Jobs {
 		moved[b.Spec.Name] = j.MovedTo
 	}
 	for name, to := range j.Moved {
-		if len(moved) < maxMovedJobs && moved[name] == "" {
+		if len(moved) < maxMovedJobNames && moved[name] == "" {
 			moved[name] = to
 		}
 	}
--- a/internal/scheduler/journal_test.go
+++ b/internal/scheduler/journal_test.go
@@ -10,8 +10,8 @@
 	"peridotpitch/internal/scheduler"
 )
 
-// Guards against a decoder that panics on, or accepts, a damaged journal, and against an
-// encoding that loses what it was given.
+// Guards against a decoder that panics on a damaged journal or accepts one that cannot be
+// encoded and decoded again, and against an encoding that loses fields.
 func FuzzDecodeJournal(f *testing.F) {
 	f.Add([]byte(`{"Version":1,"Shard":"a/0","Jobs":[{"Spec":{"Name":"x"},"State":"running","Worker":"w"}]}`))
 	f.Add([]byte(`{"Version":2,"Shard":"a/0"}`))
@@ -39,17 +39,18 @@
 	})
 }
 
-// Guards against a damaged value that takes effect.
+// Guards against a journal value that is damaged, inconsistent or of another shard or
+// version and is nevertheless put into effect.
 func TestDecodeJournalRejects(t *testing.T) {
 	for reason, value := range map[string]string{
-		"truncated":        `{"Version":1,"Sha`,
-		"another shard":    `{"Version":1,"Shard":"a/1"}`,
-		"another version":  `{"Version":9,"Shard":"a/0"}`,
-		"unknown state":    `{"Version":1,"Shard":"a/0","Jobs":[{"Spec":{"Name":"x"},"State":"asleep"}]}`,
-		"no worker":        `{"Version":1,"Shard":"a/0","Jobs":[{"Spec":{"Name":"x"},"State":"running"}]}`,
-		"negative attempt": `{"Version":1,"Shard":"a/0","Jobs":[{"Spec":{"Name":"x"},"State":"pending","Attempt":-1}]}`,
-		"job twice":        `{"Version":1,"Shard":"a/0","Jobs":[{"Spec":{"Name":"x"},"State":"pending"},{"Spec":{"Name":"x"},"State":"pending"}]}`,
-		"instance unnamed": `{"Version":1,"Shard":"a/0","Instances":[{"Service":"s"}]}`,
+		"truncated":                  `{"Version":1,"Sha`,
+		"another shard":              `{"Version":1,"Shard":"a/1"}`,
+		"another version":            `{"Version":9,"Shard":"a/0"}`,
+		"unknown state":              `{"Version":1,"Shard":"a/0","Jobs":[{"Spec":{"Name":"x"},"State":"asleep"}]}`,
+		"running job without worker": `{"Version":1,"Shard":"a/0","Jobs":[{"Spec":{"Name":"x"},"State":"running"}]}`,
+		"negative attempt":           `{"Version":1,"Shard":"a/0","Jobs":[{"Spec":{"Name":"x"},"State":"pending","Attempt":-1}]}`,
+		"job listed twice":           `{"Version":1,"Shard":"a/0","Jobs":[{"Spec":{"Name":"x"},"State":"pending"},{"Spec":{"Name":"x"},"State":"pending"}]}`,
+		"instance without name":      `{"Version":1,"Shard":"a/0","Instances":[{"Service":"s"}]}`,
 	} {
 		t.Run(reason, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/scheduler/placing.go
+++ b/internal/scheduler/placing.go
@@ -13,14 +13,18 @@
 )
 
 const (
-	// waitShortest and waitLongest bound the time between two decisions about a task
-	// that has to wait. Urgent tasks always wait the shortest time.
-	waitShortest = 200 * time.Millisecond
-	waitLongest  = 8 * time.Second
-	relieveEvery = time.Second
+	// minPlacementDelay is the time from the first postponement of a task to the next
+	// placement decision about it. It doubles with each further postponement, except for
+	// urgent tasks.
+	minPlacementDelay = 200 * time.Millisecond
+	// maxPlacementDelay bounds the growth of that time.
+	maxPlacementDelay = 8 * time.Second
+	// mitigationInterval is the time between two requests for mitigations.
+	mitigationInterval = time.Second
 )
 
-func (s *Shard) class(name string) *configurator.JobClass {
+// jobClass returns the configured job class of the given name, or nil.
+func (s *Shard) jobClass(name string) *configurator.JobClass {
 	for i := range s.config.JobClasses {
 		if s.config.JobClasses[i].Name == name {
 			return &s.config.JobClasses[i]
@@ -29,6 +33,7 @@
 	return nil
 }
 
+// serviceOf returns the configured service of an instance, or nil.
 func (s *Shard) serviceOf(t *task) *configurator.Service {
 	if t.kind != commander.KindService || s.config == nil {
 		return nil
@@ -41,58 +46,63 @@
 	return nil
 }
 
-// declared returns the size of a task.
-func (s *Shard) declared(t *task) configurator.Resources {
+// declaredSize returns a task's declared size or, if it has none, the size of its job
+// class or the size that its worker reports.
+func (s *Shard) declaredSize(t *task) configurator.Resources {
 	if t.Spec.Declared != (configurator.Resources{}) {
 		return t.Spec.Declared
 	}
-	if c := s.class(t.Spec.Class); c != nil && t.kind == commander.KindBatch {
+	if c := s.jobClass(t.Spec.Class); c != nil && t.kind == commander.KindBatch {
 		return c.Size
 	}
 	return t.report.Declared
 }
 
+// isUrgent reports whether a task is a service instance, an urgent job or a job of an
+// urgent class.
 func (s *Shard) isUrgent(t *task) bool {
 	if t.kind == commander.KindService || t.Spec.Urgent {
 		return true
 	}
-	c := s.class(t.Spec.Class)
+	c := s.jobClass(t.Spec.Class)
 	return c != nil && c.Urgent
 }
 
-// placingTask describes a task to the placer. Instances of a service are spread.
-func (s *Shard) placingTask(t *task) placer.Task {
+// placerTask returns the placer's description of a task. Instances of one service are
+// spread over racks and failure domains.
+func (s *Shard) placerTask(t *task) placer.Task {
 	return placer.Task{
 		Name: t.Spec.Name, Class: t.Spec.Class, Team: t.Spec.Team, Kind: string(t.kind),
-		Urgent: s.isUrgent(t), Declared: s.declared(t), Spread: t.service, Attempt: max(1, t.Failures+1),
+		Urgent: s.isUrgent(t), Declared: s.declaredSize(t), Spread: t.service, Attempt: max(1, t.Failures+1),
 	}
 }
 
-// view returns what the placer sees of a worker: every task that is running, starting,
-// stopping, not acknowledged or left by an earlier owner holds its capacity.
-func (s *Shard) view(w *worker, now time.Time) placer.Worker {
+// placerView returns the placer's description of a worker. Every task that is starting,
+// running, stopping, unconfirmed or left by an earlier owner holds its capacity.
+func (s *Shard) placerView(w *worker, now time.Time) placer.Worker {
 	v := placer.Worker{
 		Name: w.name, Rack: w.config.Rack, FailureDomain: s.settings.FailureDomain,
 		Capacity:   w.report.Capacity,
-		ReportedAt: w.receivedAt.Add(w.report.MeasuredAt - w.report.Clock),
+		ReportedAt: w.reportReceivedAt.Add(w.report.MeasuredAt - w.report.Clock),
 		Leaving:    w.leaving || w.report.Leaving || w.removed,
-		Fenced:     w.usable(now),
+		Fenced:     w.acceptsTasks(now),
 	}
 	for _, name := range sortedNames(w.tasks) {
-		v.Residents = append(v.Residents, s.resident(w.tasks[name]))
+		v.Residents = append(v.Residents, s.placerResident(w.tasks[name]))
 	}
-	for _, o := range w.foreign {
+	for _, o := range w.unassigned {
 		if o.report.State.Active() {
-			v.Residents = append(v.Residents, stranger(o.report))
+			v.Residents = append(v.Residents, unassignedResident(o.report))
 		}
 	}
 	return v
 }
 
-func (s *Shard) resident(t *task) placer.Resident {
+// placerResident returns the placer's description of an assigned task.
+func (s *Shard) placerResident(t *task) placer.Resident {
 	r := placer.Resident{
-		Task: s.placingTask(t), Measured: t.report.Used, Slowdown: t.report.Slowdown, Started: t.Started,
-		Throttled: t.limit, LastAction: t.lastAction, Stopping: t.State == JobEvicting || t.State == JobCanceling,
+		Task: s.placerTask(t), Measured: t.report.Used, Slowdown: t.report.Slowdown, Started: t.Started,
+		Throttled: t.throttleLimit, LastAction: t.lastActionAt, Stopping: t.State == JobEvicting || t.State == JobCanceling,
 	}
 	r.Committed = placer.Commit(r.Declared, r.Measured)
 	if v := s.serviceOf(t); v != nil {
@@ -101,37 +111,40 @@
 	return r
 }
 
-// stranger describes a task that the shard has not assigned.
-func stranger(tr commander.TaskReport) placer.Resident {
+// unassignedResident returns the placer's description of a task that the shard has not
+// assigned to the worker. It counts as stopping, because the shard does not manage it.
+func unassignedResident(tr commander.TaskReport) placer.Resident {
 	return placer.Resident{
 		Task:      placer.Task{Name: tr.Task, Class: tr.Class, Kind: string(tr.Kind), Declared: tr.Declared, Attempt: tr.Attempt},
 		Committed: placer.Commit(tr.Declared, tr.Used), Measured: tr.Used, Slowdown: tr.Slowdown, Stopping: true,
 	}
 }
 
-func (s *Shard) views(now time.Time) []placer.Worker {
+// placerViews returns the descriptions of all workers that have sent a report.
+func (s *Shard) placerViews(now time.Time) []placer.Worker {
 	var vs []placer.Worker
 	for _, w := range s.sortedWorkers() {
-		if !w.receivedAt.IsZero() {
-			vs = append(vs, s.view(w, now))
+		if !w.reportReceivedAt.IsZero() {
+			vs = append(vs, s.placerView(w, now))
 		}
 	}
 	return vs
 }
 
-// place decides about waiting tasks.
+// place makes the placement decisions for the pending tasks that are due, at most
+// maxPlacementsPerTick.
 func (s *Shard) place(now time.Time) {
-	queue := s.queue(now)
+	queue := s.placementQueue(now)
 	if len(queue) == 0 {
 		return
 	}
-	vs := s.views(now)
-	for _, t := range queue[:min(len(queue), maxPlacements)] {
-		switch d := s.settings.Placer.Place(s.placingTask(t), vs, now).(type) {
+	vs := s.placerViews(now)
+	for _, t := range queue[:min(len(queue), maxPlacementsPerTick)] {
+		switch d := s.settings.Placer.Place(s.placerTask(t), vs, now).(type) {
 		case placer.Assign:
 			s.assign(t, d, vs, now)
 		case placer.Wait:
-			s.wait(t, recorder.KindWait, string(d.Rule), d.Reason, nil, now)
+			s.postpone(t, recorder.KindWait, string(d.Rule), d.Reason, nil, now)
 		case placer.Never:
 			s.reject(t, d, now)
 		case placer.Preempt:
@@ -140,35 +153,37 @@
 	}
 }
 
-// queue returns the tasks that may be placed now, urgent ones first, then by age.
-func (s *Shard) queue(now time.Time) []*task {
+// placementQueue returns the pending tasks that may be placed now: urgent ones first, then
+// by time of submission.
+func (s *Shard) placementQueue(now time.Time) []*task {
 	recovered := s.recovered(now)
-	active := s.activeStrays(now)
+	active := s.activeUnassignedTasks(now)
 	var queue []*task
 	for _, t := range s.tasks {
 		switch {
-		case t.State != JobPending || now.Before(t.nextTry):
-		case s.storeDown && t.submitted > s.durable:
+		case t.State != JobPending || now.Before(t.nextPlacementAt):
+		case s.storeUnavailable && t.submittedVersion > s.durableVersion:
 		case t.inherited && !recovered && t.kind == commander.KindBatch:
-			// A worker that is not fenced may still run it.
+			// A worker that has not accepted this owner's epoch may still run it.
 		case t.kind == commander.KindBatch && active[t.Spec.Name]:
-			// An old attempt or an unknown task of this name still runs somewhere.
+			// A worker still runs an earlier attempt or an unlisted task of this name.
 		default:
 			queue = append(queue, t)
 		}
 	}
 	slices.SortFunc(queue, func(a, b *task) int {
-		return cmp.Or(cmp.Compare(s.rank(a), s.rank(b)), a.Submitted.Compare(b.Submitted), cmp.Compare(a.Spec.Name, b.Spec.Name))
+		return cmp.Or(cmp.Compare(s.urgencyRank(a), s.urgencyRank(b)), a.Submitted.Compare(b.Submitted), cmp.Compare(a.Spec.Name, b.Spec.Name))
 	})
 	return queue
 }
 
-// activeStrays returns the names of tasks that run although they are not assigned.
-func (s *Shard) activeStrays(now time.Time) map[string]bool {
+// activeUnassignedTasks returns the names of the unassigned tasks that may still be
+// running.
+func (s *Shard) activeUnassignedTasks(now time.Time) map[string]bool {
 	active := make(map[string]bool)
 	for _, w := range s.workers {
-		for _, o := range w.foreign {
-			if o.report.State.Active() && !strayLeaseEnded(w, o, now) {
+		for _, o := range w.unassigned {
+			if o.report.State.Active() && !unassignedLeaseEnded(w, o, now) {
 				active[o.report.Task] = true
 			}
 		}
@@ -176,59 +191,65 @@
 	return active
 }
 
-// strayLeaseEnded reports whether a task on a worker that does not answer any more has
-// ended with its lease.
-func strayLeaseEnded(w *worker, o *stray, now time.Time) bool {
-	return w.silent(now, silentAfter) && now.After(w.receivedAt.Add(o.report.LeaseEnd-w.report.Clock+leaseMargin))
+// unassignedLeaseEnded reports whether the lease of an unassigned task on an unresponsive
+// worker has ended, so that the task no longer runs.
+func unassignedLeaseEnded(w *worker, o *unassignedTask, now time.Time) bool {
+	return w.unresponsive(now, unresponsiveTimeout) && now.After(w.reportReceivedAt.Add(o.report.LeaseEnd-w.report.Clock+leaseDriftMargin))
 }
 
-// assign records the placer's choice. The start is sent once the journal holds it.
+// assign assigns a task to the worker that the placer chose. The start command follows
+// once the stored journal holds the assignment.
 func (s *Shard) assign(t *task, d placer.Assign, vs []placer.Worker, now time.Time) {
 	i := slices.IndexFunc(vs, func(v placer.Worker) bool { return v.Name == d.Worker })
-	if i < 0 || !s.hasRoom(t, &vs[i]) {
-		s.wait(t, recorder.KindWait, "CapacityGuard", "the chosen worker has no room", nil, now)
+	if i < 0 || !s.hasFreeCapacity(t, &vs[i]) {
+		s.postpone(t, recorder.KindWait, "CapacityGuard", "the worker chosen by the placer lacks free capacity", nil, now)
 		return
 	}
 	w := s.workers[d.Worker]
 	t.Attempt++
-	t.State, t.Worker, t.waits, t.lastReason = JobStarting, w.name, 0, ""
+	t.State, t.Worker, t.postponements, t.lastReason = JobStarting, w.name, 0, ""
 	t.Decision = fmt.Sprintf("placed on %s by rule %s", w.name, d.Rule)
 	w.tasks[t.Spec.Name] = t
-	vs[i].Residents = append(vs[i].Residents, s.resident(t))
-	s.change(t)
-	s.note(Record{ID: t.Spec.Name, Kind: recorder.KindPlace, Rule: string(d.Rule), Cause: "pending", Worker: w.name, Candidates: d.Candidates}, now)
+	vs[i].Residents = append(vs[i].Residents, s.placerResident(t))
+	s.markChanged(t)
+	s.recordDecision(Record{ID: t.Spec.Name, Kind: recorder.KindPlace, Rule: string(d.Rule), Cause: "pending", Worker: w.name, Candidates: d.Candidates}, now)
 }
 
-// hasRoom is the last check of capacity before an assignment, whatever the policy.
-func (s *Shard) hasRoom(t *task, v *placer.Worker) bool {
+// hasFreeCapacity reports whether a task's declared size fits into the free capacity of a
+// worker that accepts tasks. It is checked before every assignment, whatever the placement
+// policy decided.
+func (s *Shard) hasFreeCapacity(t *task, v *placer.Worker) bool {
 	if !v.Fenced || v.Leaving {
 		return false
 	}
-	used := s.declared(t)
+	used := s.declaredSize(t)
 	for _, r := range v.Residents {
 		used = used.Add(r.Declared)
 	}
 	return used.Fits(v.Capacity)
 }
 
-func (s *Shard) wait(t *task, kind recorder.Kind, rule, reason string, cs []placer.Candidate, now time.Time) {
-	delay := waitShortest
+// postpone sets the time of the next placement decision about a task. A decision is
+// recorded only if its rule differs from that of the last recorded one.
+func (s *Shard) postpone(t *task, kind recorder.Kind, rule, reason string, cs []placer.Candidate, now time.Time) {
+	delay := minPlacementDelay
 	if !s.isUrgent(t) {
-		delay = min(waitShortest<<min(t.waits, 10), waitLongest)
+		delay = min(minPlacementDelay<<min(t.postponements, 10), maxPlacementDelay)
 	}
-	t.waits++
-	t.nextTry = now.Add(delay)
+	t.postponements++
+	t.nextPlacementAt = now.Add(delay)
 	t.Decision = "waits: " + reason
 	if t.lastReason != rule {
 		t.lastReason = rule
-		s.note(Record{ID: t.Spec.Name, Kind: kind, Rule: rule, Cause: reason, Candidates: cs}, now)
+		s.recordDecision(Record{ID: t.Spec.Name, Kind: kind, Rule: rule, Cause: reason, Candidates: cs}, now)
 	}
 }
 
-// reject ends a job that can never run. Instances wait for another configuration.
+// reject ends a job that can never run. A service instance stays pending, because a later
+// configuration may allow it.
 func (s *Shard) reject(t *task, d placer.Never, now time.Time) {
 	if t.kind == commander.KindService {
-		s.wait(t, recorder.KindNever, string(d.Rule), d.Reason, nil, now)
+		s.postpone(t, recorder.KindNever, string(d.Rule), d.Reason, nil, now)
 		return
 	}
 	n := d.Nearest
@@ -236,7 +257,7 @@
 		d.Reason, n.Cores, n.Memory, n.Accelerators), now)
 }
 
-// preempt evicts the victims; the task waits for their room.
+// preempt evicts the victims and postpones the task until their capacity is free.
 func (s *Shard) preempt(t *task, d placer.Preempt, vs []placer.Worker, now time.Time) {
 	for _, name := range d.Victims {
 		v := s.tasks[name]
@@ -252,49 +273,52 @@
 			}
 		}
 	}
-	s.wait(t, recorder.KindPreempt, string(d.Rule), "room is being made on "+d.Worker, d.Candidates, now)
+	s.postpone(t, recorder.KindPreempt, string(d.Rule), "evictions in progress on "+d.Worker, d.Candidates, now)
 }
 
-// evict asks for a checkpoint and a stop. The job resumes after its worker has reported
-// both.
+// evict starts the eviction of a batch task: its worker is told to checkpoint and stop it.
+// The job is requeued after the worker has reported both.
 func (s *Shard) evict(t *task, cause, rule string, grace time.Duration, cs []placer.Candidate, now time.Time) {
 	if t.State != JobStarting && t.State != JobRunning {
 		return
 	}
-	s.note(Record{ID: t.Spec.Name, Kind: recorder.KindEvict, Rule: rule, Cause: cause, Worker: t.Worker, Candidates: cs}, now)
-	if !t.sent {
+	s.recordDecision(Record{ID: t.Spec.Name, Kind: recorder.KindEvict, Rule: rule, Cause: cause, Worker: t.Worker, Candidates: cs}, now)
+	if !t.maybeStarted {
 		s.requeue(t, cause, now)
 		return
 	}
-	t.State, t.cause, t.Decision, t.grace, t.stopSent, t.lastAction = JobEvicting, cause, cause, grace, time.Time{}, now
-	s.change(t)
+	t.State, t.evictionCause, t.Decision, t.gracePeriod, t.stopSentAt, t.lastActionAt = JobEvicting, cause, cause, grace, time.Time{}, now
+	s.markChanged(t)
 }
 
-// relieve carries out the placer's measures for degraded services.
-func (s *Shard) relieve(now time.Time) {
-	if now.Sub(s.lastRelief) < relieveEvery {
+// mitigateInterference carries out the mitigations that the placer decides on for degraded
+// services: throttling, checkpointing or stopping batch tasks.
+func (s *Shard) mitigateInterference(now time.Time) {
+	if now.Sub(s.lastMitigationAt) < mitigationInterval {
 		return
 	}
-	s.lastRelief = now
-	for _, r := range s.settings.Placer.Relieve(s.views(now), now) {
+	s.lastMitigationAt = now
+	for _, r := range s.settings.Placer.Relieve(s.placerViews(now), now) {
 		switch r := r.(type) {
 		case placer.Throttle:
 			s.throttle(r, now)
 		case placer.Checkpoint:
-			s.relieveBy(r.Worker, r.Task, r.Cause, r.Rule, evictGrace, r.Candidates, now)
+			s.evictForMitigation(r.Worker, r.Task, r.Cause, r.Rule, evictionGracePeriod, r.Candidates, now)
 		case placer.Stop:
-			s.relieveBy(r.Worker, r.Task, r.Cause, r.Rule, 0, r.Candidates, now)
+			s.evictForMitigation(r.Worker, r.Task, r.Cause, r.Rule, 0, r.Candidates, now)
 		}
 	}
 }
 
-func (s *Shard) relieveBy(worker, name, cause string, rule placer.Rule, grace time.Duration, cs []placer.Candidate, now time.Time) {
+// evictForMitigation evicts a batch task that degrades a service. If the task is already
+// being evicted, the grace period is only shortened.
+func (s *Shard) evictForMitigation(worker, name, cause string, rule placer.Rule, grace time.Duration, cs []placer.Candidate, now time.Time) {
 	t := s.tasks[name]
 	if t == nil || t.Worker != worker || t.kind != commander.KindBatch {
 		return
 	}
-	if t.State == JobEvicting && grace < t.grace {
-		t.grace, t.stopSent, t.lastAction = grace, time.Time{}, now
+	if t.State == JobEvicting && grace < t.gracePeriod {
+		t.gracePeriod, t.stopSentAt, t.lastActionAt = grace, time.Time{}, now
 		return
 	}
 	s.evict(t, cause, string(rule), grace, cs, now)
@@ -305,13 +329,13 @@
 	if t == nil || t.Worker != r.Worker || t.State != JobRunning {
 		return
 	}
-	t.limit, t.lastAction = r.Limit, now
-	s.note(Record{ID: r.Task, Kind: recorder.KindThrottle, Rule: string(r.Rule), Cause: r.Cause, Worker: r.Worker, Candidates: r.Candidates}, now)
+	t.throttleLimit, t.lastActionAt = r.Limit, now
+	s.recordDecision(Record{ID: r.Task, Kind: recorder.KindThrottle, Rule: string(r.Rule), Cause: r.Cause, Worker: r.Worker, Candidates: r.Candidates}, now)
 }
 
-// moveFromLeaving evicts batch tasks from workers that are leaving, and retires their
-// instances.
-func (s *Shard) moveFromLeaving(now time.Time) {
+// evacuateLeavingWorkers evicts the batch tasks and retires the service instances of
+// workers that are leaving or no longer configured.
+func (s *Shard) evacuateLeavingWorkers(now time.Time) {
 	for _, w := range s.sortedWorkers() {
 		if !w.leaving && !w.report.Leaving && !w.removed {
 			continue
@@ -321,7 +345,7 @@
 			if t.kind == commander.KindService {
 				s.retire(t, "worker is leaving", now)
 			} else {
-				s.evict(t, "worker "+w.name+" is leaving", "HostLeaving", evictGrace, nil, now)
+				s.evict(t, "worker "+w.name+" is leaving", "HostLeaving", evictionGracePeriod, nil, now)
 			}
 		}
 	}
--- a/internal/scheduler/shard.go
+++ b/internal/scheduler/shard.go
@@ -11,34 +11,41 @@
 )
 
 const (
-	// TickInterval is how often the owner sends Tick. It bounds the delay of a
-	// placement and the number of journal writes.
+	// TickInterval is the interval at which the owner sends Tick. It bounds the delay of
+	// a placement and the rate of journal writes.
 	TickInterval = 100 * time.Millisecond
-	// LeaseDuration is the longest lease of a batch task.
-	LeaseDuration = 20 * time.Second
+	// BatchLeaseDuration is the longest lease of a batch task.
+	BatchLeaseDuration = 20 * time.Second
 	// ServiceLease is the lease of a service instance. It is long because duplicate
 	// instances are harmless and an outage must not stop a service.
 	ServiceLease = 10 * time.Minute
-	// commandValidity bounds how long after sending a command a worker accepts it, so
-	// that a command without an answer is settled after this time.
+	// commandValidity is the time after sending during which a worker accepts a command.
+	// A command without an answer can no longer take effect after this time.
 	commandValidity = 3 * time.Second
-	renewEvery      = 5 * time.Second // four renewals fit into one lease
-	renewServices   = 2 * time.Minute
-	reportEvery     = time.Second
-	resendAfter     = time.Second
-	// silentAfter is the age of a worker's last answer from which it gets no work and
-	// no renewals.
-	silentAfter = 5 * time.Second
-	// replaceAfter is the silence after which a replacement of an instance is started.
-	replaceAfter = 10 * time.Second
-	// evictGrace is how long a batch task may take for its last checkpoint.
-	evictGrace = 10 * time.Second
-	// retireWithin bounds the wait for the replacement of an instance that must go.
-	retireWithin = 60 * time.Second
-	// maxCommands bounds the commands in one message to a worker.
-	maxCommands = 256
-	// maxPlacements bounds the placement decisions in one tick.
-	maxPlacements      = 200
+	// batchRenewalInterval allows four renewals within one lease.
+	batchRenewalInterval   = 5 * time.Second
+	serviceRenewalInterval = 2 * time.Minute
+	// pollInterval is the time between two fences or report requests to a worker.
+	pollInterval = time.Second
+	// startResendInterval is the time after which an unconfirmed start may be sent again.
+	startResendInterval = time.Second
+	// unresponsiveTimeout is the age of a worker's last answer from which the worker gets
+	// no new tasks and no lease renewals.
+	unresponsiveTimeout = 5 * time.Second
+	// instanceReplacementTimeout is the age of a worker's last answer from which its
+	// service instances are replaced.
+	instanceReplacementTimeout = 10 * time.Second
+	// evictionGracePeriod is the time that an evicted batch task has for its last
+	// checkpoint.
+	evictionGracePeriod = 10 * time.Second
+	// retirementTimeout bounds how long a retiring instance waits for its replacement.
+	retirementTimeout = 60 * time.Second
+	// maxCommandsPerMessage bounds the commands in one message to a worker.
+	maxCommandsPerMessage = 256
+	// maxPlacementsPerTick bounds the placement decisions in one tick.
+	maxPlacementsPerTick = 200
+	// defaultMaxAttempts is the number of failed runs after which a job fails if its
+	// class sets no limit.
 	defaultMaxAttempts = 3
 )
 
@@ -55,19 +62,19 @@
 type Settings struct {
 	Shard         string // "domain/shard"
 	FailureDomain string
-	Host          string // owner
+	Host          string // the shard's owner
 	Writer        string // identity of the owner's process
 	Placer        Placer
 }
 
-// phase is the state of ownership.
+// phase is the state of the ownership of a shard.
 type phase string
 
 const (
-	phaseWaiting  phase = "waiting" // not claimed yet
-	phaseOwned    phase = "owned"
-	phaseReleased phase = "released" // the next write gives the shard up
-	phaseLost     phase = "lost"
+	phaseUnclaimed phase = "waiting"
+	phaseOwned     phase = "owned"
+	phaseReleasing phase = "released" // the next journal write clears the owner
+	phaseLost      phase = "lost"
 )
 
 // Shard is the state machine of one shard. It is not safe for concurrent use.
@@ -75,77 +82,79 @@
 	settings Settings
 	config   *configurator.Configuration
 	phase    phase
-	journal  Journal // header fields; jobs and instances are in tasks
+	journal  Journal // header fields only; jobs and instances are in tasks
 	tasks    map[string]*task
 	workers  map[string]*worker
-	records  records
-
-	placing, running, earlierEnds time.Time
-	claimedAt                     time.Time
-	inherited                     bool // an earlier owner may have started tasks
-
-	version   uint64 // of the last change
-	durable   uint64 // last version that the journal holds
-	urgent    bool   // changes that wait for nothing but the write interval
-	write     pendingWrite
-	lastWrite time.Time
-	retryAt   time.Time
-	storeDown bool
-	size      int // estimated size of the encoded journal, bytes
-	answers   []pendingAnswer
-	imports   []pendingImport
-
-	retrySlots map[slot]time.Time // when a failed instance may be started again
-	lastRelief time.Time
-	endpoints  []Endpoint
-	actions    []Action
+	history  jobHistory
+
+	// placingUntil and runningUntil end the ownership lease for placing and for running
+	// tasks. The ownership lease of every earlier owner has ended at earlierOwnersEndAt.
+	placingUntil, runningUntil, earlierOwnersEndAt time.Time
+	claimedAt                                      time.Time
+	recoveryPending                                bool // tasks started by an earlier owner may not have been found yet
+
+	version          uint64 // of the last change
+	durableVersion   uint64 // last version that the stored journal holds
+	writeSoon        bool   // write after minWriteInterval instead of maxWriteInterval
+	lastWrite        journalWrite
+	lastWriteAt      time.Time
+	writeRetryAt     time.Time
+	storeUnavailable bool
+	journalBytes     int // estimated size of the encoded journal
+	pendingAnswers   []pendingAnswer
+	pendingImports   []pendingImport
+
+	instanceRetryAt  map[instanceKey]time.Time // earliest restart of a failed instance
+	lastMitigationAt time.Time
+	endpoints        []Endpoint
+	actions          []Action
 }
 
 // task is a batch job or a service instance.
 type task struct {
 	JobEntry
-	kind     commander.TaskKind
-	service  string
-	index    int
-	retiring bool
-	retireAt time.Time // when retiring began
-
-	submitted uint64 // version that first listed the task
-	changed   uint64 // version of the last change of state
-	inherited bool   // listed by an earlier owner's journal
-
-	sent      bool // a start may have reached the worker
-	started   bool // the worker has acknowledged or reported the task
-	refused   int  // refused starts of this attempt
-	startSent time.Time
-	renewSent time.Time
-	stopSent  time.Time
+	kind          commander.TaskKind
+	service       string
+	index         int
+	retiring      bool
+	retiringSince time.Time
+
+	submittedVersion uint64 // version that first listed the task
+	changedVersion   uint64 // version of the last change of state
+	inherited        bool   // listed by an earlier owner's journal
+
+	maybeStarted   bool // a start command may have reached the worker
+	startConfirmed bool // the worker has acknowledged or reported the task
+	refusedStarts  int  // refused starts of this attempt
+	startSentAt    time.Time
+	renewSentAt    time.Time
+	stopSentAt     time.Time
 	// leaseUntil is the latest time at which the worker may still run the task.
-	leaseUntil time.Time
-	grace      time.Duration
-	cause      string // of the eviction
-	limit      float64
-	limitSent  float64
-	lastAction time.Time
-	report     commander.TaskReport
-	nextTry    time.Time
-	waits      int
-	lastReason string
+	leaseUntil        time.Time
+	gracePeriod       time.Duration // time that a stop command allows
+	evictionCause     string
+	throttleLimit     float64 // share of the declared cores; 0 or 1 is no limit
+	throttleLimitSent float64
+	lastActionAt      time.Time // last throttle, eviction or stop
+	report            commander.TaskReport
+	nextPlacementAt   time.Time
+	postponements     int
+	lastReason        string // last recorded rule of a postponement, or reason of a refused start
 }
 
-// NewShard returns a shard that does nothing before Claimed.
+// NewShard returns a shard that takes no action before the event Claimed.
 func NewShard(s Settings) *Shard {
 	return &Shard{
-		settings:   s,
-		phase:      phaseWaiting,
-		tasks:      make(map[string]*task),
-		workers:    make(map[string]*worker),
-		records:    newRecords(),
-		retrySlots: make(map[slot]time.Time),
+		settings:        s,
+		phase:           phaseUnclaimed,
+		tasks:           make(map[string]*task),
+		workers:         make(map[string]*worker),
+		history:         newJobHistory(),
+		instanceRetryAt: make(map[instanceKey]time.Time),
 	}
 }
 
-// Step takes an event and returns what the caller must do.
+// Step applies an event and returns the actions that the caller must carry out.
 func (s *Shard) Step(e Event, now time.Time) []Action {
 	s.actions = nil
 	if s.phase == phaseLost {
@@ -154,49 +163,49 @@
 	}
 	switch e := e.(type) {
 	case ConfigurationChanged:
-		s.configure(e.Configuration, now)
+		s.applyConfiguration(e.Configuration, now)
 	case Claimed:
-		s.claimed(e, now)
+		s.handleClaimed(e, now)
 	case TenureChanged:
-		s.placing, s.running, s.earlierEnds = e.Placing, e.Running, e.EarlierEnds
+		s.placingUntil, s.runningUntil, s.earlierOwnersEndAt = e.Placing, e.Running, e.EarlierEnds
 	case SuccessorsChanged:
 		s.journal.Successors, s.journal.RunningSuccessors = e.Placing, e.Running
-		s.urgent = true
+		s.writeSoon = true
 	case JobSubmitted:
-		s.submit(e, now)
+		s.handleSubmission(e, now)
 	case CancellationAsked:
-		s.cancel(e, now)
+		s.handleCancellation(e, now)
 	case JobsImported:
 		s.importJobs(e, now)
 	case WorkerFenced:
-		s.workerFenced(e, now)
+		s.handleWorkerFenced(e, now)
 	case ReportArrived:
-		s.reportArrived(e, now)
+		s.handleReport(e, now)
 	case WorkerSilent:
 		if w := s.workers[e.Worker]; w != nil {
-			w.asking = false
+			w.pollOutstanding = false
 		}
 	case WorkerRejected:
-		s.workerRejected(e, now)
+		s.handleWorkerRejected(e, now)
 	case CommandsAnswered:
-		s.commandsAnswered(e, now)
+		s.handleCommandsAnswered(e, now)
 	case JournalWritten:
-		s.journalWritten(e)
+		s.handleJournalWritten(e)
 	case JournalFailed:
-		s.journalFailed(e, now)
+		s.handleJournalFailed(e, now)
 	case JournalUnknown:
-		s.storeDown = true
+		s.storeUnavailable = true
 	case JournalLost:
-		s.lost(e)
+		s.handleJournalLost(e)
 	case RecordsWritten:
-		s.recordsWritten(e)
+		s.handleHistoryWritten(e)
 	case HostLeaving:
 		if w := s.workers[e.Worker]; w != nil {
 			w.leaving = e.Leaving
 		}
 	case Released:
-		s.phase = phaseReleased
-		s.urgent = true
+		s.phase = phaseReleasing
+		s.writeSoon = true
 	case Tick:
 		s.tick(now)
 	}
@@ -206,12 +215,13 @@
 
 func (s *Shard) emit(a Action) { s.actions = append(s.actions, a) }
 
-func (s *Shard) note(r Record, now time.Time) {
+func (s *Shard) recordDecision(r Record, now time.Time) {
 	r.Time = now
 	s.emit(r)
 }
 
-// rejectWhenLost answers what callers wait for after the shard was lost.
+// rejectWhenLost rejects submissions and cancellations that arrive after the shard was
+// lost.
 func (s *Shard) rejectWhenLost(e Event) {
 	const reason = "this host no longer owns the shard"
 	switch e := e.(type) {
@@ -222,81 +232,82 @@
 	}
 }
 
-func (s *Shard) lost(e JournalLost) {
+func (s *Shard) handleJournalLost(e JournalLost) {
 	s.phase = phaseLost
-	for _, a := range s.answers {
-		s.emit(AnswerSubmission{Request: a.request, Unknown: true, Reason: "shard is now owned by " + e.Owner})
+	for _, a := range s.pendingAnswers {
+		s.emit(AnswerSubmission{Request: a.request, Unknown: true, Reason: "this host no longer owns the shard; current owner: " + e.Owner})
 	}
-	s.answers = nil
+	s.pendingAnswers = nil
 	s.emit(PublishEndpoints{})
 }
 
-// change marks a task's state as changed. The next write carries it.
-func (s *Shard) change(t *task) {
+// markChanged marks a task's state as changed; the next journal write includes it.
+func (s *Shard) markChanged(t *task) {
 	s.version++
-	t.changed = s.version
-	s.urgent = true
+	t.changedVersion = s.version
+	s.writeSoon = true
 }
 
-// mayPlace reports whether the owner may start, stop and evict.
+// mayPlace reports whether the owner may start, stop and evict tasks.
 func (s *Shard) mayPlace(now time.Time) bool {
-	return s.phase == phaseOwned && s.config != nil && now.Before(s.placing)
+	return s.phase == phaseOwned && s.config != nil && now.Before(s.placingUntil)
 }
 
-// claimed takes over the journal.
-func (s *Shard) claimed(e Claimed, now time.Time) {
+// handleClaimed restores the state of the shard from the claimed journal.
+func (s *Shard) handleClaimed(e Claimed, now time.Time) {
 	s.journal = e.Journal
-	s.phase, s.claimedAt, s.lastWrite = phaseOwned, now, now
-	s.inherited = e.Journal.Epoch > 1
-	s.records.load(e.Records)
-	s.version, s.durable = 1, 1
+	s.phase, s.claimedAt, s.lastWriteAt = phaseOwned, now, now
+	s.recoveryPending = e.Journal.Epoch > 1
+	s.history.load(e.Records)
+	s.version, s.durableVersion = 1, 1
 	for _, b := range e.Journal.Jobs {
-		t := &task{JobEntry: b, kind: commander.KindBatch, submitted: 1, changed: 1, inherited: true}
-		s.adoptEntry(t)
+		t := &task{JobEntry: b, kind: commander.KindBatch, submittedVersion: 1, changedVersion: 1, inherited: true}
+		s.restoreTask(t)
 	}
 	for _, i := range e.Journal.Instances {
-		t := &task{kind: commander.KindService, service: i.Service, index: i.Index, retiring: i.Retiring, submitted: 1, changed: 1, inherited: true}
+		t := &task{kind: commander.KindService, service: i.Service, index: i.Index, retiring: i.Retiring, submittedVersion: 1, changedVersion: 1, inherited: true}
 		t.Spec.Name, t.Attempt, t.Worker, t.State = i.Task, i.Attempt, i.Worker, JobRunning
 		if t.retiring {
-			t.State, t.retireAt, t.grace = JobEvicting, now, drainGrace
+			t.State, t.retiringSince, t.gracePeriod = JobEvicting, now, instanceDrainPeriod
 		}
-		s.adoptEntry(t)
+		s.restoreTask(t)
 	}
 	s.journal.Jobs, s.journal.Instances = nil, nil
 	if s.config != nil {
-		s.configure(s.config, now)
+		s.applyConfiguration(s.config, now)
 	}
 }
 
-// adoptEntry lists a task of an earlier owner. A start may have been sent for it.
-func (s *Shard) adoptEntry(t *task) {
+// restoreTask adds a task of an earlier owner. A task with a worker counts as possibly
+// started, because that owner may have sent the start command.
+func (s *Shard) restoreTask(t *task) {
 	s.tasks[t.Spec.Name] = t
 	if t.Worker != "" && !t.State.Ended() {
-		t.sent = true
-		s.worker(t.Worker).tasks[t.Spec.Name] = t
+		t.maybeStarted = true
+		s.ensureWorker(t.Worker).tasks[t.Spec.Name] = t
 	}
 }
 
-// configure puts a configuration into effect.
-func (s *Shard) configure(c *configurator.Configuration, now time.Time) {
+// applyConfiguration puts a configuration into effect.
+func (s *Shard) applyConfiguration(c *configurator.Configuration, now time.Time) {
 	s.config = c
-	s.settings.Placer.Configure(policyOf(c), c.Measures)
+	s.settings.Placer.Configure(placerPolicy(c), c.Measures)
 	listed := make(map[string]bool)
 	for _, cw := range c.Workers {
 		if cw.FailureDomain+"/"+cw.Shard != s.settings.Shard {
 			continue
 		}
 		listed[cw.Name] = true
-		w := s.worker(cw.Name)
+		w := s.ensureWorker(cw.Name)
 		if w.config.Address != cw.Address {
-			w.fenced = false
+			w.epochAccepted = false
 		}
 		w.config, w.removed = cw, false
 	}
 	for _, w := range s.workers {
 		if !listed[w.name] {
 			w.removed = true
-			w.fenced = w.fenced && len(w.tasks) > 0
+			w.epochAccepted = w.epochAccepted && len(w.tasks) > 0
 			if len(w.tasks) == 0 {
 				delete(s.workers, w.name)
 			}
@@ -305,8 +316,8 @@
 	s.reconcile(now)
 }
 
-// policyOf returns the placer's settings of a configuration.
-func policyOf(c *configurator.Configuration) placer.Policy {
+// placerPolicy returns the placer's policy for a configuration.
+func placerPolicy(c *configurator.Configuration) placer.Policy {
 	p := placer.Policy{Placement: c.Policy.Placement, Quotas: make(map[string]configurator.Resources)}
 	for _, t := range c.Teams {
 		p.Quotas[t.Name] = t.Quota
@@ -319,43 +330,46 @@
 	return p
 }
 
-// recovered reports whether nothing of an earlier owner can run unnoticed: every
-// worker has been fenced, or the earlier owners' tenures and the last leases that they
-// may have given have ended.
+// recovered reports whether every task that an earlier owner started has been found or
+// has ended: every worker has reported its tasks under this owner's epoch, or the earlier
+// owners' ownership leases and the last task leases they may have granted have ended.
 func (s *Shard) recovered(now time.Time) bool {
-	if !s.inherited {
+	if !s.recoveryPending {
 		return true
 	}
 	if s.earlierLeasesEnded(now) {
-		s.inherited = false
+		s.recoveryPending = false
 		return true
 	}
 	for _, w := range s.workers {
-		if !w.everFenced {
+		if !w.epochAcceptedOnce {
 			return false
 		}
 	}
-	s.inherited = false
+	s.recoveryPending = false
 	return true
 }
 
+// earlierLeasesEnded reports whether every batch lease that an earlier owner may have
+// granted has ended.
 func (s *Shard) earlierLeasesEnded(now time.Time) bool {
-	return !s.earlierEnds.IsZero() && now.After(s.earlierEnds.Add(LeaseDuration+leaseMargin))
+	return !s.earlierOwnersEndAt.IsZero() && now.After(s.earlierOwnersEndAt.Add(BatchLeaseDuration+leaseDriftMargin))
 }
 
-// settleInherited ends cancelled jobs of an earlier owner that were found nowhere.
-func (s *Shard) settleInherited(now time.Time) {
+// finishUnfoundCancellations ends inherited jobs that are being cancelled and that no
+// worker reports, once recovery is complete.
+func (s *Shard) finishUnfoundCancellations(now time.Time) {
 	if !s.recovered(now) {
 		return
 	}
-	for _, t := range s.selected(func(t *task) bool { return t.State == JobCanceling && t.Worker == "" }) {
+	for _, t := range s.selectTasks(func(t *task) bool { return t.State == JobCanceling && t.Worker == "" }) {
 		s.finish(t, JobCancelled, "cancelled", now)
 	}
 }
 
-// selected returns the tasks that match, sorted by name. Sorting only those keeps a tick
-// cheap when a shard lists thousands of jobs.
-func (s *Shard) selected(match func(t *task) bool) []*task {
+// selectTasks returns the matching tasks sorted by name. Only the matches are sorted, so
+// that a tick stays cheap in a shard with thousands of jobs.
+func (s *Shard) selectTasks(match func(t *task) bool) []*task {
 	var ts []*task
 	for _, t := range s.tasks {
 		if match(t) {
@@ -373,21 +387,22 @@
 	}
 	s.pollWorkers(now)
 	s.expireLeases(now)
-	s.settleInherited(now)
+	s.finishUnfoundCancellations(now)
 	if s.mayPlace(now) {
-		s.moveFromLeaving(now)
+		s.evacuateLeavingWorkers(now)
 		s.reconcile(now)
-		s.relieve(now)
+		s.mitigateInterference(now)
 		s.place(now)
 	}
-	s.publish()
-	s.writeRecords(now)
+	s.publishEndpoints()
+	s.writeHistory(now)
 }
 
-// flush sends what the current state allows. Commands wait for the next tick where an
-// event may come in thousands, so that a burst of them costs one pass.
+// flush emits the journal write and the commands that are due after an event. Events that
+// may arrive by the thousand, such as submissions, send no commands: the next tick sends
+// them in one pass over the workers.
 func (s *Shard) flush(e Event, now time.Time) {
-	if s.phase == phaseWaiting || s.phase == phaseLost {
+	if s.phase == phaseUnclaimed || s.phase == phaseLost {
 		return
 	}
 	s.writeJournal(now)
@@ -400,21 +415,22 @@
 			s.sendCommands(w, now)
 		}
 	case WorkerFenced:
-		s.sendTo(e.Worker, now)
+		s.sendCommandsTo(e.Worker, now)
 	case ReportArrived:
-		s.sendTo(e.Worker, now)
+		s.sendCommandsTo(e.Worker, now)
 	case CommandsAnswered:
-		s.sendTo(e.Worker, now)
+		s.sendCommandsTo(e.Worker, now)
 	}
 }
 
-func (s *Shard) sendTo(name string, now time.Time) {
+func (s *Shard) sendCommandsTo(name string, now time.Time) {
 	if w := s.workers[name]; w != nil {
 		s.sendCommands(w, now)
 	}
 }
 
-// sortedWorkers makes the order of actions independent of the map's order.
+// sortedWorkers returns the workers sorted by name, so that the order of actions does not
+// depend on map iteration.
 func (s *Shard) sortedWorkers() []*worker {
 	ws := make([]*worker, 0, len(s.workers))
 	for _, w := range s.workers {
@@ -424,7 +440,7 @@
 	return ws
 }
 
-// Jobs returns the shard's jobs and recent records, sorted by name.
+// Jobs returns the shard's jobs, including those in the job history, sorted by name.
 func (s *Shard) Jobs() []JobStatus {
 	var js []JobStatus
 	for _, t := range s.tasks {
@@ -432,8 +448,8 @@
 			js = append(js, s.status(&t.JobEntry))
 		}
 	}
-	for i := range s.records.jobs {
-		if b := &s.records.jobs[i]; s.tasks[b.Spec.Name] == nil {
+	for i := range s.history.jobs {
+		if b := &s.history.jobs[i]; s.tasks[b.Spec.Name] == nil {
 			js = append(js, s.status(b))
 		}
 	}
@@ -441,29 +457,30 @@
 	return js
 }
 
-// Job returns one job.
+// Job returns the status of the named job and whether the shard lists it.
 func (s *Shard) Job(name string) (JobStatus, bool) {
 	if t := s.tasks[name]; t != nil && t.kind == commander.KindBatch {
 		return s.status(&t.JobEntry), true
 	}
-	if b := s.records.find(name); b != nil {
+	if b := s.history.find(name); b != nil {
 		return s.status(b), true
 	}
 	return JobStatus{}, false
 }
 
-// Workers returns the number of workers and how many of them are fenced.
-func (s *Shard) Workers() (all, fenced int) {
+// Workers returns the number of workers and the number that have accepted the owner's
+// epoch.
+func (s *Shard) Workers() (all, accepted int) {
 	for _, w := range s.workers {
-		if w.fenced {
-			fenced++
+		if w.epochAccepted {
+			accepted++
 		}
 	}
-	return len(s.workers), fenced
+	return len(s.workers), accepted
 }
 
 // StoreAvailable reports whether the last write to the store succeeded.
-func (s *Shard) StoreAvailable() bool { return !s.storeDown }
+func (s *Shard) StoreAvailable() bool { return !s.storeUnavailable }
 
 func (s *Shard) status(b *JobEntry) JobStatus {
 	return JobStatus{
@@ -473,5 +490,5 @@
 	}
 }
 
-// Released reports whether the shard was given up or lost.
+// Released reports whether the shard was released or lost.
 func (s *Shard) Released() bool { return s.phase == phaseLost }
--- a/internal/scheduler/work.go
+++ b/internal/scheduler/work.go
@@ -12,77 +12,83 @@
 	"peridotpitch/internal/recorder"
 )
 
-// leaseMargin covers the drift of the worker's clock over one lease.
-var leaseMargin = keeper.Margin(LeaseDuration)
+// leaseDriftMargin covers the drift between the clocks of the worker and the owner during
+// one batch lease.
+var leaseDriftMargin = keeper.Margin(BatchLeaseDuration)
 
-// worker is the shard's knowledge of one of its workers.
+// worker is the state that the shard keeps for one of its workers.
 type worker struct {
 	name    string
 	config  configurator.Worker
-	removed bool // not in the configuration any more
+	removed bool // not in the current configuration
 	leaving bool
 
-	report     commander.Report
-	receivedAt time.Time // of report
-	heardAt    time.Time // last answer of any kind
-	fenced     bool
-	everFenced bool      // since the claim
-	asking     bool      // a fence or a report request is outstanding
-	askedAt    time.Time // when it was sent
-	sent       []commander.Command
-	sentAt     time.Time
-	// settledAt is the time from which no command sent before can still take effect. A
-	// report that was asked for later is complete.
-	settledAt time.Time
-	rejected  bool // the worker has accepted a higher epoch
-
-	tasks   map[string]*task  // assigned by this owner or its predecessors
-	foreign map[string]*stray // reported, but not assigned here
+	report              commander.Report
+	reportReceivedAt    time.Time
+	lastResponseAt      time.Time // last answer of any kind
+	epochAccepted       bool      // the worker has accepted the owner's epoch
+	epochAcceptedOnce   bool      // epochAccepted was true at some time since the claim
+	pollOutstanding     bool      // a fence or a report request is outstanding
+	polledAt            time.Time // when the last fence or report request was emitted
+	outstandingCommands []commander.Command
+	commandsSentAt      time.Time
+	// commandsSettledAt is the time from which no earlier command can still take effect. A
+	// report that was requested after it lists every task that those commands started.
+	commandsSettledAt time.Time
+	superseded        bool // the worker has accepted a higher epoch
+
+	tasks      map[string]*task           // assigned by this owner or its predecessors
+	unassigned map[string]*unassignedTask // by attemptKey
 }
 
-// stray is a reported task that the shard has not assigned to the worker.
-type stray struct {
-	report   commander.TaskReport
-	known    bool // an old attempt of a task that the shard knows
-	stopSent time.Time
+// unassignedTask is a task that a worker reports but that the shard has not assigned to
+// it.
+type unassignedTask struct {
+	report        commander.TaskReport
+	stale         bool // attempt of a listed task, not later than the listed one, or job in the history
+	commandSentAt time.Time
 }
 
-func (s *Shard) worker(name string) *worker {
+// ensureWorker returns the worker of the given name. If the shard does not list it, a
+// worker is added that counts as removed until a configuration lists it.
+func (s *Shard) ensureWorker(name string) *worker {
 	w, ok := s.workers[name]
 	if !ok {
-		w = &worker{name: name, removed: true, tasks: make(map[string]*task), foreign: make(map[string]*stray)}
+		w = &worker{name: name, removed: true, tasks: make(map[string]*task), unassigned: make(map[string]*unassignedTask)}
 		s.workers[name] = w
 	}
 	return w
 }
 
-// at converts a time of the owner to the worker's clock. The result is never later
-// than the worker's reading at that time, because the report was received after its
-// clock was read.
-func (w *worker) at(t time.Time) commander.WorkerTime {
-	return w.report.Clock + t.Sub(w.receivedAt)
+// toWorkerTime converts a time of the owner's clock to the worker's clock. The worker reads
+// its clock before the owner receives the report, so the result is never later than the
+// worker's clock at that time.
+func (w *worker) toWorkerTime(t time.Time) commander.WorkerTime {
+	return w.report.Clock + t.Sub(w.reportReceivedAt)
 }
 
-func (w *worker) silent(now time.Time, after time.Duration) bool {
-	return now.Sub(w.heardAt) > after
+// unresponsive reports whether the last answer is older than the given time.
+func (w *worker) unresponsive(now time.Time, after time.Duration) bool {
+	return now.Sub(w.lastResponseAt) > after
 }
 
-// usable reports whether the worker may get new work.
-func (w *worker) usable(now time.Time) bool {
-	return w.fenced && !w.removed && !w.leaving && !w.report.Leaving && !w.rejected && !w.silent(now, silentAfter)
+// acceptsTasks reports whether tasks may be assigned to the worker.
+func (w *worker) acceptsTasks(now time.Time) bool {
+	return w.epochAccepted && !w.removed && !w.leaving && !w.report.Leaving && !w.superseded && !w.unresponsive(now, unresponsiveTimeout)
 }
 
-// pollWorkers fences workers and asks for reports.
+// pollWorkers requests a report from each worker that has accepted the owner's epoch and
+// sends a fence to the others.
 func (s *Shard) pollWorkers(now time.Time) {
 	for _, w := range s.sortedWorkers() {
-		if w.asking || w.removed && !w.config.Address.IsValid() || now.Sub(w.askedAt) < reportEvery {
+		if w.pollOutstanding || w.removed && !w.config.Address.IsValid() || now.Sub(w.polledAt) < pollInterval {
 			continue
 		}
-		if !w.fenced && !s.mayPlace(now) {
-			continue // a fence is a message with side effects
+		if !w.epochAccepted && !s.mayPlace(now) {
+			continue // a fence changes the worker's state, so it needs the ownership lease
 		}
-		w.asking, w.askedAt = true, now
-		if w.fenced {
+		w.pollOutstanding, w.polledAt = true, now
+		if w.epochAccepted {
 			s.emit(AskReport{Worker: w.name, Address: w.config.Address})
 		} else {
 			s.emit(SendFence{Worker: w.name, Address: w.config.Address, Epoch: s.journal.Epoch})
@@ -90,62 +96,69 @@
 	}
 }
 
-func (s *Shard) workerFenced(e WorkerFenced, now time.Time) {
+// handleWorkerFenced records that a worker has accepted the owner's epoch and merges its
+// report.
+func (s *Shard) handleWorkerFenced(e WorkerFenced, now time.Time) {
 	w := s.workers[e.Worker]
 	if w == nil {
 		return
 	}
-	w.asking = false
+	w.pollOutstanding = false
 	if e.Epoch != s.journal.Epoch || e.Report.Epoch != s.journal.Epoch {
 		return
 	}
-	first := !w.everFenced
-	w.fenced, w.everFenced, w.rejected = true, true, false
+	first := !w.epochAcceptedOnce
+	w.epochAccepted, w.epochAcceptedOnce, w.superseded = true, true, false
 	if first {
-		s.note(Record{ID: w.name, Kind: recorder.KindAdopt, Rule: "WorkerFenced", Worker: w.name, Cause: "inventory merged"}, now)
+		s.recordDecision(Record{ID: w.name, Kind: recorder.KindAdopt, Rule: "WorkerFenced", Worker: w.name, Cause: "report merged"}, now)
 	}
-	s.merge(w, e.Report, e.SentAt, e.ReceivedAt, now)
+	s.mergeReport(w, e.Report, e.SentAt, e.ReceivedAt, now)
 }
 
-func (s *Shard) reportArrived(e ReportArrived, now time.Time) {
+// handleReport merges a report. A worker that has restarted must accept the epoch again; a
+// worker that has accepted a higher epoch belongs to another owner.
+func (s *Shard) handleReport(e ReportArrived, now time.Time) {
 	w := s.workers[e.Worker]
 	if w == nil {
 		return
 	}
-	w.asking = false
-	if !w.fenced {
+	w.pollOutstanding = false
+	if !w.epochAccepted {
 		return
 	}
 	if e.Report.Incarnation != w.report.Incarnation || e.Report.Epoch < s.journal.Epoch {
-		// The worker has restarted and does not know the epoch any more.
-		w.fenced, w.askedAt = false, time.Time{}
-		w.settledAt = laterOf(w.settledAt, w.sentAt.Add(commandValidity+leaseMargin))
+		// The worker has restarted and lost the epoch.
+		w.epochAccepted, w.polledAt = false, time.Time{}
+		w.commandsSettledAt = laterOf(w.commandsSettledAt, w.commandsSentAt.Add(commandValidity+leaseDriftMargin))
 		return
 	}
 	if e.Report.Epoch > s.journal.Epoch {
-		w.fenced, w.rejected = false, true
+		w.epochAccepted, w.superseded = false, true
 		return
 	}
-	s.merge(w, e.Report, e.SentAt, e.ReceivedAt, now)
+	s.mergeReport(w, e.Report, e.SentAt, e.ReceivedAt, now)
 }
 
-func (s *Shard) workerRejected(e WorkerRejected, now time.Time) {
+// handleWorkerRejected records that a worker has accepted a higher epoch, so that it gets
+// no more commands from this owner.
+func (s *Shard) handleWorkerRejected(e WorkerRejected, now time.Time) {
 	w := s.workers[e.Worker]
 	if w == nil {
 		return
 	}
-	if !w.rejected {
-		s.note(Record{ID: w.name, Kind: recorder.KindRefuse, Rule: "HigherEpoch", Worker: w.name, Cause: "the worker has accepted a newer owner"}, now)
+	if !w.superseded {
+		s.recordDecision(Record{ID: w.name, Kind: recorder.KindRefuse, Rule: "HigherEpoch", Worker: w.name, Cause: "the worker has accepted a higher epoch"}, now)
 	}
-	w.asking, w.fenced, w.rejected = false, false, true
-	w.unsettle()
+	w.pollOutstanding, w.epochAccepted, w.superseded = false, false, true
+	w.markOutcomeUnknown()
 }
 
-// unsettle records that the outstanding commands may still take effect.
-func (w *worker) unsettle() {
-	if w.sent != nil {
-		w.settledAt = laterOf(w.settledAt, w.sentAt.Add(commandValidity+leaseMargin))
-		w.sent = nil
+// markOutcomeUnknown gives up waiting for the results of the outstanding commands. They may
+// take effect until their validity ends, so commandsSettledAt moves to that time.
+func (w *worker) markOutcomeUnknown() {
+	if w.outstandingCommands != nil {
+		w.commandsSettledAt = laterOf(w.commandsSettledAt, w.commandsSentAt.Add(commandValidity+leaseDriftMargin))
+		w.outstandingCommands = nil
 	}
 }
 
@@ -156,26 +169,27 @@
 	return a
 }
 
-// merge takes a worker's inventory into the shard's state.
-func (s *Shard) merge(w *worker, r commander.Report, sentAt, receivedAt, now time.Time) {
+// mergeReport updates the shard's state from a worker's report. Tasks that a complete
+// report does not list are handled as missing.
+func (s *Shard) mergeReport(w *worker, r commander.Report, sentAt, receivedAt, now time.Time) {
 	if r.Incarnation == w.report.Incarnation && r.Clock < w.report.Clock {
-		return // overtaken by a later report
+		return // a later report has already been merged
 	}
-	w.report, w.receivedAt, w.heardAt = r, receivedAt, now
-	complete := w.sent == nil && sentAt.After(w.settledAt)
+	w.report, w.reportReceivedAt, w.lastResponseAt = r, receivedAt, now
+	complete := w.outstandingCommands == nil && sentAt.After(w.commandsSettledAt)
 	seen := make(map[string]bool, len(r.Tasks))
-	w.foreign = s.sortReported(w, r, seen, now)
+	w.unassigned = s.applyReportedTasks(w, r, seen, now)
 	for _, name := range sortedNames(w.tasks) {
 		t := w.tasks[name]
-		if !seen[name] && complete && (t.sent || t.refused > 0) {
-			s.vanished(w, t, now)
+		if !seen[name] && complete && (t.maybeStarted || t.refusedStarts > 0) {
+			s.handleMissingTask(w, t, now)
 		}
 	}
 	if w.removed && len(w.tasks) == 0 {
 		delete(s.workers, w.name)
 	}
 	if s.config != nil {
-		s.settings.Placer.Observe(s.view(w, now), now)
+		s.settings.Placer.Observe(s.placerView(w, now), now)
 	}
 }
 
@@ -188,9 +202,10 @@
 	return names
 }
 
-// sortReported updates assigned tasks from a report and returns the other ones.
-func (s *Shard) sortReported(w *worker, r commander.Report, seen map[string]bool, now time.Time) map[string]*stray {
-	strays := make(map[string]*stray)
+// applyReportedTasks updates assigned tasks from a report, adds their names to seen and
+// returns the unassigned tasks by attemptKey.
+func (s *Shard) applyReportedTasks(w *worker, r commander.Report, seen map[string]bool, now time.Time) map[string]*unassignedTask {
+	unassigned := make(map[string]*unassignedTask)
 	for _, tr := range r.Tasks {
 		t := s.tasks[tr.Task]
 		if t != nil && s.adoptable(w, t, tr) {
@@ -198,140 +213,149 @@
 		}
 		if t != nil && t.Worker == w.name && t.Attempt == tr.Attempt && !t.State.Ended() && t.State != JobPending {
 			seen[tr.Task] = true
-			s.reported(w, t, tr, now)
+			s.applyTaskReport(w, t, tr, now)
 			if t.Worker == w.name && !t.State.Ended() {
 				continue
 			}
 		}
-		if t != nil && s.finishedUnseen(t, tr) {
-			s.finish(t, JobFinished, "finished on "+w.name+" while it was silent", now)
+		if t != nil && s.finishedBeforeRestart(t, tr) {
+			s.finish(t, JobFinished, "finished on "+w.name+" before the next attempt was started", now)
 		}
-		key := strayKey(tr)
-		o := w.foreign[key]
+		key := attemptKey(tr)
+		o := w.unassigned[key]
 		if o == nil {
-			o = &stray{}
-			if t == nil && s.records.find(tr.Task) == nil && tr.State.Active() {
-				s.note(Record{ID: tr.Task, Kind: recorder.KindAdopt, Rule: "UnknownTask", Worker: w.name, Cause: "not in the journal; left until its lease ends"}, now)
+			o = &unassignedTask{}
+			if t == nil && s.history.find(tr.Task) == nil && tr.State.Active() {
+				s.recordDecision(Record{ID: tr.Task, Kind: recorder.KindAdopt, Rule: "UnknownTask", Worker: w.name, Cause: "not in the journal; left running until its lease ends"}, now)
 			}
 		}
 		o.report = tr
-		o.known = t != nil && t.Attempt >= tr.Attempt || s.records.find(tr.Task) != nil
-		strays[key] = o
+		o.stale = t != nil && t.Attempt >= tr.Attempt || s.history.find(tr.Task) != nil
+		unassigned[key] = o
 	}
-	return strays
+	return unassigned
 }
 
-// finishedUnseen reports whether an earlier attempt finished on a worker that counted as
-// lost, before the next attempt was started.
-func (s *Shard) finishedUnseen(t *task, tr commander.TaskReport) bool {
+// finishedBeforeRestart reports whether an attempt has finished on a worker that counted as
+// lost, before a start of the next attempt was sent.
+func (s *Shard) finishedBeforeRestart(t *task, tr commander.TaskReport) bool {
 	return t.kind == commander.KindBatch && tr.State == commander.TaskFinished && tr.Attempt <= t.Attempt &&
-		!t.sent && (t.State == JobPending || t.State == JobStarting)
+		!t.maybeStarted && (t.State == JobPending || t.State == JobStarting)
 }
 
-func strayKey(tr commander.TaskReport) string { return tr.Task + "\x00" + strconv.Itoa(tr.Attempt) }
+// attemptKey returns the key of an unassigned task: its name and attempt.
+func attemptKey(tr commander.TaskReport) string { return tr.Task + "\x00" + strconv.Itoa(tr.Attempt) }
 
-// adoptable reports whether a reported task is a later attempt of a job than the
-// journal shows: an earlier owner may start jobs of its journal without a further write
-// while the store is unavailable.
+// adoptable reports whether a reported task is a later attempt of an inherited job than the
+// journal lists. While the store is unavailable, an owner may start jobs of its journal
+// without writing the assignment.
 func (s *Shard) adoptable(w *worker, t *task, tr commander.TaskReport) bool {
-	return t.inherited && s.inherited && tr.Attempt > t.Attempt && !t.State.Ended() &&
+	return t.inherited && s.recoveryPending && tr.Attempt > t.Attempt && !t.State.Ended() &&
 		(t.Worker != w.name || tr.Attempt != t.Attempt)
 }
 
+// adopt assigns a task to the worker that reports a later attempt of it.
 func (s *Shard) adopt(w *worker, t *task, tr commander.TaskReport, now time.Time) {
-	s.unassign(t)
-	t.Attempt, t.Worker, t.sent = tr.Attempt, w.name, true
+	s.clearAssignment(t)
+	t.Attempt, t.Worker, t.maybeStarted = tr.Attempt, w.name, true
 	if t.State != JobCanceling {
 		t.State = JobRunning
 	}
 	w.tasks[t.Spec.Name] = t
-	s.change(t)
-	s.note(Record{ID: t.Spec.Name, Kind: recorder.KindAdopt, Rule: "LaterAttemptFound", Worker: w.name, Cause: "started by an earlier owner during a store outage"}, now)
+	s.markChanged(t)
+	s.recordDecision(Record{ID: t.Spec.Name, Kind: recorder.KindAdopt, Rule: "LaterAttemptFound", Worker: w.name, Cause: "started by an earlier owner during a store outage"}, now)
 }
 
-// reported updates a task from its worker's report.
-func (s *Shard) reported(w *worker, t *task, tr commander.TaskReport, now time.Time) {
+// applyTaskReport updates an assigned task from its worker's report.
+func (s *Shard) applyTaskReport(w *worker, t *task, tr commander.TaskReport, now time.Time) {
 	t.report = tr
-	t.sent = true
+	t.maybeStarted = true
 	if tr.Checkpoint != "" && tr.Checkpoint != t.Checkpoint {
-		t.Checkpoint = tr.Checkpoint // carried by the next renewal
+		t.Checkpoint = tr.Checkpoint // no write of its own; the next journal write includes it
 	}
 	switch tr.State {
 	case commander.TaskStarting, commander.TaskRunning, commander.TaskCheckpointing:
-		t.leaseUntil = laterOf(t.leaseUntil, w.receivedAt.Add(tr.LeaseEnd-w.report.Clock))
-		if !t.started {
-			t.started = true
+		t.leaseUntil = laterOf(t.leaseUntil, w.reportReceivedAt.Add(tr.LeaseEnd-w.report.Clock))
+		if !t.startConfirmed {
+			t.startConfirmed = true
 			if t.inherited {
-				s.note(Record{ID: t.Spec.Name, Kind: recorder.KindAdopt, Rule: "FoundRunning", Worker: w.name, Cause: "attempt matches the journal"}, now)
+				s.recordDecision(Record{ID: t.Spec.Name, Kind: recorder.KindAdopt, Rule: "FoundRunning", Worker: w.name, Cause: "attempt matches the journal"}, now)
 			}
 		}
 		if t.State == JobStarting {
-			s.becomeRunning(t, now)
+			s.markRunning(t, now)
 		}
 	case commander.TaskStopped:
-		s.taskEnded(w, t, false, now)
-		s.stopped(t, cmp.Or(t.cause, tr.Reason, "stopped by the worker"), now)
+		s.notifyTaskEnded(w, t, false, now)
+		s.handleStopped(t, cmp.Or(t.evictionCause, tr.Reason, "stopped by the worker"), now)
 	case commander.TaskFinished:
-		s.taskEnded(w, t, false, now)
+		s.notifyTaskEnded(w, t, false, now)
 		s.finish(t, JobFinished, "finished", now)
 	case commander.TaskFailed:
-		s.taskEnded(w, t, true, now)
-		s.failed(t, tr.Reason, now)
+		s.notifyTaskEnded(w, t, true, now)
+		s.handleFailure(t, tr.Reason, now)
 	}
 }
 
-func (s *Shard) becomeRunning(t *task, now time.Time) {
+// markRunning marks a task as running. It requests no journal write, because the stored
+// journal already holds the assignment; the next write includes the new state.
+func (s *Shard) markRunning(t *task, now time.Time) {
 	t.State = JobRunning
 	t.Started = now
-	t.started = true
-	s.version++ // carried by the next renewal; the assignment is already in the journal
+	t.startConfirmed = true
+	s.version++
 }
 
-func (s *Shard) taskEnded(w *worker, t *task, failed bool, now time.Time) {
+func (s *Shard) notifyTaskEnded(w *worker, t *task, failed bool, now time.Time) {
 	s.settings.Placer.TaskEnded(w.name, t.Spec.Name, failed, now)
 }
 
-// vanished handles a task that a complete report does not list.
-func (s *Shard) vanished(w *worker, t *task, now time.Time) {
+// handleMissingTask handles an assigned task that a complete report does not list. A start
+// that did not take effect is sent again. After maxRefusedStarts refused starts, and if the
+// worker has lost a job that was started, the job is requeued.
+func (s *Shard) handleMissingTask(w *worker, t *task, now time.Time) {
 	switch {
-	case t.State == JobStarting && !t.started && !t.inherited:
-		if t.refused < maxRefusals {
-			t.startSent = time.Time{} // it did not arrive: send it again
+	case t.State == JobStarting && !t.startConfirmed && !t.inherited:
+		if t.refusedStarts < maxRefusedStarts {
+			t.startSentAt = time.Time{} // the start did not take effect; it may be sent again at once
 			return
 		}
 		s.requeue(t, "start refused: "+t.lastReason, now)
 	case t.State == JobCanceling:
 		s.finish(t, JobCancelled, "cancelled", now)
 	case t.kind == commander.KindService:
-		s.remove(t)
+		s.removeInstance(t)
 	default:
-		s.note(Record{ID: t.Spec.Name, Kind: recorder.KindRetry, Rule: "NotOnWorker", Worker: w.name, Cause: "worker does not list the task"}, now)
-		s.requeue(t, "worker "+w.name+" lost the task", now)
+		s.recordDecision(Record{ID: t.Spec.Name, Kind: recorder.KindRetry, Rule: "NotOnWorker", Worker: w.name, Cause: "worker does not list the task"}, now)
+		s.requeue(t, "worker "+w.name+" no longer lists the task", now)
 	}
 }
 
-// maxRefusals is how often a worker may refuse a start before the task is placed anew.
-const maxRefusals = 2
+// maxRefusedStarts is the number of refused starts of one attempt after which the task is
+// placed again.
+const maxRefusedStarts = 2
 
-// stopped handles a task that its worker has stopped with a checkpoint.
-func (s *Shard) stopped(t *task, cause string, now time.Time) {
+// handleStopped handles a task that its worker has stopped. A job is requeued and resumes
+// from its last checkpoint.
+func (s *Shard) handleStopped(t *task, cause string, now time.Time) {
 	switch {
 	case t.State == JobCanceling:
 		s.finish(t, JobCancelled, "cancelled", now)
 	case t.kind == commander.KindService:
-		s.remove(t)
+		s.removeInstance(t)
 	default:
 		t.Evictions++
-		s.note(Record{ID: t.Spec.Name, Kind: recorder.KindRetry, Rule: "Evicted", Worker: t.Worker, Cause: cause}, now)
+		s.recordDecision(Record{ID: t.Spec.Name, Kind: recorder.KindRetry, Rule: "Evicted", Worker: t.Worker, Cause: cause}, now)
 		s.requeue(t, cause, now)
 	}
 }
 
-// failed handles a failed run.
-func (s *Shard) failed(t *task, reason string, now time.Time) {
+// handleFailure handles a failed run. A service instance is started again after one second;
+// a job is requeued until its class's limit of failed runs is reached.
+func (s *Shard) handleFailure(t *task, reason string, now time.Time) {
 	if t.kind == commander.KindService {
-		s.retrySlots[t.slot()] = now.Add(time.Second)
-		s.remove(t)
+		s.instanceRetryAt[t.instanceKey()] = now.Add(time.Second)
+		s.removeInstance(t)
 		return
 	}
 	if t.State == JobCanceling {
@@ -340,73 +364,74 @@
 	}
 	t.Failures++
 	limit := defaultMaxAttempts
-	if c := s.class(t.Spec.Class); c != nil && c.MaxAttempts > 0 {
+	if c := s.jobClass(t.Spec.Class); c != nil && c.MaxAttempts > 0 {
 		limit = c.MaxAttempts
 	}
 	if t.Failures >= limit {
-		s.finish(t, JobFailed, "failed too often, last reason: "+reason, now)
+		s.finish(t, JobFailed, "limit of failed runs reached, last failure: "+reason, now)
 		return
 	}
-	s.note(Record{ID: t.Spec.Name, Kind: recorder.KindRetry, Rule: "RunFailed", Worker: t.Worker, Cause: reason}, now)
+	s.recordDecision(Record{ID: t.Spec.Name, Kind: recorder.KindRetry, Rule: "RunFailed", Worker: t.Worker, Cause: reason}, now)
 	s.requeue(t, "run failed: "+reason, now)
 }
 
-// requeue makes a task wait for its next attempt.
+// requeue makes a task pending, or ends it if it is being cancelled.
 func (s *Shard) requeue(t *task, cause string, now time.Time) {
 	if t.State == JobCanceling {
 		s.finish(t, JobCancelled, "cancelled", now)
 		return
 	}
-	s.unassign(t)
-	t.State, t.Decision, t.nextTry, t.waits = JobPending, cause, now, 0
-	s.change(t)
+	s.clearAssignment(t)
+	t.State, t.Decision, t.nextPlacementAt, t.postponements = JobPending, cause, now, 0
+	s.markChanged(t)
 }
 
-// unassign takes a task off its worker and forgets what was sent for the attempt.
-func (s *Shard) unassign(t *task) {
+// clearAssignment removes a task from its worker and clears the state of its attempt.
+func (s *Shard) clearAssignment(t *task) {
 	if w := s.workers[t.Worker]; w != nil {
 		delete(w.tasks, t.Spec.Name)
 	}
 	t.Worker = ""
-	t.sent, t.started, t.refused, t.cause = false, false, 0, ""
-	t.startSent, t.renewSent, t.stopSent, t.leaseUntil = time.Time{}, time.Time{}, time.Time{}, time.Time{}
-	t.limit, t.limitSent, t.report = 0, 0, commander.TaskReport{}
+	t.maybeStarted, t.startConfirmed, t.refusedStarts, t.evictionCause = false, false, 0, ""
+	t.startSentAt, t.renewSentAt, t.stopSentAt, t.leaseUntil = time.Time{}, time.Time{}, time.Time{}, time.Time{}
+	t.throttleLimit, t.throttleLimitSent, t.report = 0, 0, commander.TaskReport{}
 }
 
-// finish ends a job.
+// finish ends a job with a final state. A service instance is removed instead.
 func (s *Shard) finish(t *task, state JobState, decision string, now time.Time) {
 	if t.kind == commander.KindService {
-		s.remove(t)
+		s.removeInstance(t)
 		return
 	}
 	at, before := t.Worker, t.Decision
-	s.unassign(t)
+	s.clearAssignment(t)
 	t.Worker = at // shown to operators
 	t.State, t.Decision, t.Ended = state, decision, now
-	if before != "" { // the placement must stay explainable when the host that made it is gone
+	if before != "" { // explains the placement even if the host that made it has stopped
 		t.Decision += "; before: " + before
 	}
-	s.change(t)
+	s.markChanged(t)
 	switch state {
 	case JobCancelled:
-		s.note(Record{ID: t.Spec.Name, Kind: recorder.KindCancel, Rule: "Asked", Worker: at, Cause: decision}, now)
+		s.recordDecision(Record{ID: t.Spec.Name, Kind: recorder.KindCancel, Rule: "Asked", Worker: at, Cause: decision}, now)
 	case JobFailed, JobRejected:
-		s.note(Record{ID: t.Spec.Name, Kind: recorder.KindNever, Rule: "GivenUp", Worker: at, Cause: decision}, now)
+		s.recordDecision(Record{ID: t.Spec.Name, Kind: recorder.KindNever, Rule: "GivenUp", Worker: at, Cause: decision}, now)
 	}
 }
 
-// remove drops a service instance.
-func (s *Shard) remove(t *task) {
-	s.unassign(t)
+// removeInstance removes a service instance from the shard.
+func (s *Shard) removeInstance(t *task) {
+	s.clearAssignment(t)
 	delete(s.tasks, t.Spec.Name)
 	s.version++
-	s.urgent = true
+	s.writeSoon = true
 }
 
-// expireLeases counts the tasks of silent workers as lost once their leases have ended.
+// expireLeases handles the tasks of unresponsive workers: batch tasks are requeued once
+// their leases have ended, service instances are replaced.
 func (s *Shard) expireLeases(now time.Time) {
 	for _, w := range s.sortedWorkers() {
-		if !w.silent(now, silentAfter) || now.Sub(s.claimedAt) < silentAfter {
+		if !w.unresponsive(now, unresponsiveTimeout) || now.Sub(s.claimedAt) < unresponsiveTimeout {
 			continue
 		}
 		for _, name := range sortedNames(w.tasks) {
@@ -415,8 +440,8 @@
 			case t.kind == commander.KindService:
 				s.expireInstance(w, t, now)
 			case s.leaseEnded(w, t, now):
-				s.note(Record{ID: name, Kind: recorder.KindRetry, Rule: "LeaseEnded", Worker: w.name, Cause: "worker is silent"}, now)
-				s.requeue(t, "worker "+w.name+" is silent", now)
+				s.recordDecision(Record{ID: name, Kind: recorder.KindRetry, Rule: "LeaseEnded", Worker: w.name, Cause: "worker is unresponsive"}, now)
+				s.requeue(t, "worker "+w.name+" is unresponsive", now)
 			}
 		}
 		if w.removed && len(w.tasks) == 0 {
@@ -425,26 +450,29 @@
 	}
 }
 
-// leaseEnded reports whether a batch task on a silent worker can no longer run. On a
-// worker that was never fenced, earlier owners may still renew the lease.
+// leaseEnded reports whether a batch task on an unresponsive worker can no longer run. A
+// worker that has never accepted this owner's epoch still accepts lease renewals from
+// earlier owners, so an inherited task there may run until the earlier owners' last leases
+// have ended.
 func (s *Shard) leaseEnded(w *worker, t *task, now time.Time) bool {
-	if t.sent && !w.everFenced && s.journal.Epoch > 1 && t.inherited {
+	if t.maybeStarted && !w.epochAcceptedOnce && s.journal.Epoch > 1 && t.inherited {
 		return s.earlierLeasesEnded(now)
 	}
-	return t.sent && now.After(t.leaseUntil.Add(leaseMargin)) || !t.sent
+	return t.maybeStarted && now.After(t.leaseUntil.Add(leaseDriftMargin)) || !t.maybeStarted
 }
 
-// expireInstance replaces an instance on a silent worker, and drops it once its lease
-// has ended. Duplicate instances are harmless, so the replacement need not wait.
+// expireInstance retires an instance on an unresponsive worker, so that a replacement is
+// started, and removes it once its lease has ended. The replacement does not wait for that
+// end, because duplicate instances are harmless.
 func (s *Shard) expireInstance(w *worker, t *task, now time.Time) {
-	ended := now.After(t.leaseUntil.Add(leaseMargin))
+	ended := now.After(t.leaseUntil.Add(leaseDriftMargin))
 	if t.leaseUntil.IsZero() {
 		ended = now.Sub(s.claimedAt) > ServiceLease
 	}
 	switch {
 	case ended:
-		s.remove(t)
-	case !t.retiring && w.silent(now, replaceAfter) && now.Sub(s.claimedAt) > replaceAfter:
-		s.retire(t, "worker is silent", now)
+		s.removeInstance(t)
+	case !t.retiring && w.unresponsive(now, instanceReplacementTimeout) && now.Sub(s.claimedAt) > instanceReplacementTimeout:
+		s.retire(t, "worker is unresponsive", now)
 	}
 }
--- a/internal/scheduler/writing.go
+++ b/internal/scheduler/writing.go
@@ -11,68 +11,74 @@
 )
 
 const (
-	// writeEvery is the shortest time between two journal writes: 10 per second.
-	writeEvery = 100 * time.Millisecond
-	// renewWithin is the longest: a third of the default ownership TTL.
-	renewWithin = time.Second
-	// sizeOfNewJob is the room that a submission needs in the journal, in bytes.
-	sizeOfNewJob = 1024
-	// maxDecision bounds the journaled text of a decision, in bytes: it may quote a
+	// minWriteInterval is the shortest time between two journal writes. It limits them to
+	// 10 per second.
+	minWriteInterval = 100 * time.Millisecond
+	// maxWriteInterval is the time after which the journal is written without a change, to
+	// renew the ownership. It is a third of the default ownership TTL.
+	maxWriteInterval = time.Second
+	// newJobBytes is the journal space reserved for a submitted job.
+	newJobBytes = 1024
+	// maxDecisionBytes bounds the text of a decision in the journal, because it may quote a
 	// worker's reason of any length.
-	maxDecision = 300
-	// maxMovedJobs bounds the names kept of jobs that another shard took over.
-	maxMovedJobs = 2000
+	maxDecisionBytes = 300
+	// maxMovedJobNames bounds the names in Journal.Moved. Only names from earlier imports are
+	// dropped.
+	maxMovedJobNames = 2000
 )
 
-// pendingWrite is the journal write whose outcome is not known.
-type pendingWrite struct {
-	outstanding bool
-	sequence    uint64
-	version     uint64
-	released    bool // the value gives the shard up
+// journalWrite describes an emitted journal write.
+type journalWrite struct {
+	outstanding   bool // the outcome is not known yet
+	sequence      uint64
+	version       uint64 // last version that the value holds
+	releasesShard bool   // the value has no owner
 }
 
-// pendingAnswer is owed once the journal holds the version.
+// pendingAnswer is an answer to a submission or cancellation. It is sent once the stored
+// journal holds the version.
 type pendingAnswer struct {
-	request uint64
-	version uint64
-	job     string
-	submit  bool
+	request      uint64
+	version      uint64
+	job          string
+	isSubmission bool
 }
 
+// pendingImport is an import that is answered once the stored journal holds the version.
 type pendingImport struct {
 	from    string
 	version uint64
 }
 
-// writeJournal sends a write if one is due: changes after writeEvery, a renewal after
-// renewWithin. One value carries every change since the last write.
+// writeJournal emits a journal write if one is due: after minWriteInterval if writeSoon is
+// set, otherwise after maxWriteInterval as a renewal. One write holds all changes since the
+// last one.
 func (s *Shard) writeJournal(now time.Time) {
-	if s.write.outstanding || now.Before(s.retryAt) {
+	if s.lastWrite.outstanding || now.Before(s.writeRetryAt) {
 		return
 	}
-	since := now.Sub(s.lastWrite)
-	if since < writeEvery || !s.urgent && since < renewWithin {
+	since := now.Sub(s.lastWriteAt)
+	if since < minWriteInterval || !s.writeSoon && since < maxWriteInterval {
 		return
 	}
-	j := s.snapshot()
+	j := s.nextJournal()
 	value, err := j.Encode()
 	if err != nil {
 		return // unreachable: every field can be encoded
 	}
-	s.size = len(value)
+	s.journalBytes = len(value)
 	s.journal.Renewal, s.journal.Sequence = j.Renewal, j.Sequence
-	s.write = pendingWrite{outstanding: true, sequence: j.Sequence, version: s.version, released: j.Owner == ""}
-	s.lastWrite = now
-	s.urgent = false
+	s.lastWrite = journalWrite{outstanding: true, sequence: j.Sequence, version: s.version, releasesShard: j.Owner == ""}
+	s.lastWriteAt = now
+	s.writeSoon = false
 	s.emit(WriteJournal{Value: value, Writer: j.Writer, Sequence: j.Sequence})
 }
 
-// snapshot returns the journal's next value.
-func (s *Shard) snapshot() Journal {
+// nextJournal returns the journal to be written next.
+func (s *Shard) nextJournal() Journal {
 	j := s.journal
 	j.Owner, j.Writer = s.settings.Host, s.settings.Writer
-	if s.phase == phaseReleased {
+	if s.phase == phaseReleasing {
 		j.Owner = ""
 	}
 	j.Renewal++
@@ -82,7 +88,7 @@
 		switch {
 		case t.kind == commander.KindBatch:
 			b := t.JobEntry
-			b.Decision = b.Decision[:min(len(b.Decision), maxDecision)]
+			b.Decision = b.Decision[:min(len(b.Decision), maxDecisionBytes)]
 			j.Jobs = append(j.Jobs, b)
 		case t.Worker != "":
 			j.Instances = append(j.Instances, InstanceEntry{
@@ -93,87 +99,92 @@
 	return j
 }
 
-func (s *Shard) journalWritten(e JournalWritten) {
-	if !s.write.outstanding || e.Sequence != s.write.sequence {
+// handleJournalWritten sends the answers that waited for the write.
+func (s *Shard) handleJournalWritten(e JournalWritten) {
+	if !s.lastWrite.outstanding || e.Sequence != s.lastWrite.sequence {
 		return
 	}
-	s.write.outstanding = false
-	s.durable = s.write.version
-	s.storeDown, s.retryAt = false, time.Time{}
-	if s.write.released {
-		s.lost(JournalLost{Owner: "nobody"})
+	s.lastWrite.outstanding = false
+	s.durableVersion = s.lastWrite.version
+	s.storeUnavailable, s.writeRetryAt = false, time.Time{}
+	if s.lastWrite.releasesShard {
+		s.handleJournalLost(JournalLost{Owner: "none, the shard was released"})
 		return
 	}
-	s.answers = slices.DeleteFunc(s.answers, func(a pendingAnswer) bool {
-		if a.version > s.durable {
+	s.pendingAnswers = slices.DeleteFunc(s.pendingAnswers, func(a pendingAnswer) bool {
+		if a.version > s.durableVersion {
 			return false
 		}
-		s.answer(a, true, "")
+		s.answerPending(a, true, "")
 		return true
 	})
-	s.imports = slices.DeleteFunc(s.imports, func(i pendingImport) bool {
-		if i.version <= s.durable {
+	s.pendingImports = slices.DeleteFunc(s.pendingImports, func(i pendingImport) bool {
+		if i.version <= s.durableVersion {
 			s.emit(AnswerImport{From: i.from})
 		}
-		return i.version <= s.durable
+		return i.version <= s.durableVersion
 	})
 }
 
-func (s *Shard) journalFailed(e JournalFailed, now time.Time) {
-	if !s.write.outstanding || e.Sequence != s.write.sequence {
+// handleJournalFailed rejects the pending submissions and cancellations, and removes the
+// jobs of the rejected submissions.
+func (s *Shard) handleJournalFailed(e JournalFailed, now time.Time) {
+	if !s.lastWrite.outstanding || e.Sequence != s.lastWrite.sequence {
 		return
 	}
-	s.write.outstanding = false
-	s.storeDown, s.retryAt = true, now.Add(e.Retry)
-	s.urgent = true
-	for _, a := range s.answers {
-		s.answer(a, false, "not accepted, retry later: "+e.Reason)
-		if t := s.tasks[a.job]; a.submit && t != nil && t.submitted == a.version {
-			s.withdraw(t)
+	s.lastWrite.outstanding = false
+	s.storeUnavailable, s.writeRetryAt = true, now.Add(e.Retry)
+	s.writeSoon = true
+	for _, a := range s.pendingAnswers {
+		s.answerPending(a, false, "not accepted, retry later: "+e.Reason)
+		if t := s.tasks[a.job]; a.isSubmission && t != nil && t.submittedVersion == a.version {
+			s.withdrawSubmission(t)
 		}
 	}
-	s.answers = nil
+	s.pendingAnswers = nil
 }
 
-// withdraw drops a submission that was not accepted. No start was sent for it, because
-// a start waits for the journal to list the job.
-func (s *Shard) withdraw(t *task) {
-	s.unassign(t)
+// withdrawSubmission removes a job whose submission was not accepted. No start was sent
+// for it, because a start command waits until the stored journal lists the job.
+func (s *Shard) withdrawSubmission(t *task) {
+	s.clearAssignment(t)
 	delete(s.tasks, t.Spec.Name)
 }
 
-func (s *Shard) answer(a pendingAnswer, accepted bool, reason string) {
+func (s *Shard) answerPending(a pendingAnswer, accepted bool, reason string) {
 	st, _ := s.Job(a.job)
 	s.emit(AnswerSubmission{Request: a.request, Accepted: accepted, Unknown: !accepted, Reason: reason, Status: st})
 }
 
-// refusal returns why no change can be accepted now, or "".
-func (s *Shard) refusal(now time.Time) string {
+// refusalReason returns why submissions and cancellations cannot be accepted now, or "" if
+// they can.
+func (s *Shard) refusalReason(now time.Time) string {
 	switch {
 	case s.phase != phaseOwned || s.config == nil:
 		return "shard is not ready, retry later"
-	case s.storeDown:
+	case s.storeUnavailable:
 		return "not accepted, retry later: the store is unavailable"
-	case !now.Before(s.placing):
-		return "not accepted, retry later: ownership is not certain"
+	case !now.Before(s.placingUntil):
+		return "not accepted, retry later: the ownership lease has ended"
 	}
 	return ""
 }
 
-func (s *Shard) submit(e JobSubmitted, now time.Time) {
+// handleSubmission adds a job. The answer follows once the stored journal lists the job.
+func (s *Shard) handleSubmission(e JobSubmitted, now time.Time) {
 	name := e.Spec.Name
 	if st, ok := s.Job(name); ok {
-		// A repeated submission is acknowledged like the first one.
-		if t := s.tasks[name]; t != nil && t.submitted > s.durable {
-			s.answers = append(s.answers, pendingAnswer{e.Request, t.submitted, name, true})
+		// A repeated submission gets the same answer as the first one.
+		if t := s.tasks[name]; t != nil && t.submittedVersion > s.durableVersion {
+			s.pendingAnswers = append(s.pendingAnswers, pendingAnswer{e.Request, t.submittedVersion, name, true})
 			return
 		}
 		s.emit(AnswerSubmission{Request: e.Request, Accepted: true, Status: st})
 		return
 	}
-	reason := s.refusal(now)
+	reason := s.refusalReason(now)
 	if reason == "" {
-		reason = s.invalid(e.Spec)
+		reason = s.invalidReason(e.Spec)
 	}
 	if reason != "" {
 		s.emit(AnswerSubmission{Request: e.Request, Reason: reason})
@@ -182,25 +193,25 @@
 	t := &task{kind: commander.KindBatch}
 	t.Spec, t.State, t.Submitted = e.Spec, JobPending, now
 	s.tasks[name] = t
-	s.change(t)
-	t.submitted = t.changed
-	s.size += sizeOfNewJob
-	s.answers = append(s.answers, pendingAnswer{e.Request, s.version, name, true})
+	s.markChanged(t)
+	t.submittedVersion = t.changedVersion
+	s.journalBytes += newJobBytes
+	s.pendingAnswers = append(s.pendingAnswers, pendingAnswer{e.Request, s.version, name, true})
 }
 
-// invalid returns why a job is not accepted, or "".
-func (s *Shard) invalid(j JobSpec) string {
-	const maxName = 200 // bytes; the journal is bounded
+// invalidReason returns why a job is not accepted, or "" if it is accepted.
+func (s *Shard) invalidReason(j JobSpec) string {
+	const maxNameBytes = 200 // the size of the journal is limited
 	switch {
-	case j.Name == "" || len(j.Name) > maxName:
-		return fmt.Sprintf("a job's name has 1 to %d bytes", maxName)
+	case j.Name == "" || len(j.Name) > maxNameBytes:
+		return fmt.Sprintf("a job's name must have 1 to %d bytes", maxNameBytes)
 	case s.tasks[j.Name] != nil:
-		return fmt.Sprintf("name %q is that of a service instance", j.Name)
-	case s.class(j.Class) == nil:
+		return fmt.Sprintf("name %q is in use by a service instance", j.Name)
+	case s.jobClass(j.Class) == nil:
 		return fmt.Sprintf("job class %q is not configured", j.Class)
 	case s.journal.Moved[j.Name] != "":
 		return fmt.Sprintf("job was taken over by shard %s", s.journal.Moved[j.Name])
-	case s.size+sizeOfNewJob > MaxJournalSize:
+	case s.journalBytes+newJobBytes > MaxJournalSize:
 		return "the shard's journal is full, retry later"
 	}
 	if j.Team == "" {
@@ -214,42 +225,44 @@
 	return fmt.Sprintf("team %q is not configured", j.Team)
 }
 
-func (s *Shard) cancel(e CancellationAsked, now time.Time) {
+// handleCancellation cancels a job. A job that may be running is first stopped by its
+// worker. The answer follows once the stored journal holds the cancellation.
+func (s *Shard) handleCancellation(e CancellationAsked, now time.Time) {
 	st, ok := s.Job(e.Name)
 	if !ok {
-		s.emit(AnswerSubmission{Request: e.Request, Reason: fmt.Sprintf("job %q is not known", e.Name)})
+		s.emit(AnswerSubmission{Request: e.Request, Reason: fmt.Sprintf("job %q not found", e.Name)})
 		return
 	}
 	t := s.tasks[e.Name]
-	if t == nil || t.State.Ended() && t.changed <= s.durable {
+	if t == nil || t.State.Ended() && t.changedVersion <= s.durableVersion {
 		s.emit(AnswerSubmission{Request: e.Request, Accepted: true, Status: st})
 		return
 	}
-	if reason := s.refusal(now); reason != "" {
+	if reason := s.refusalReason(now); reason != "" {
 		s.emit(AnswerSubmission{Request: e.Request, Reason: reason, Status: st})
 		return
 	}
 	switch {
 	case t.State.Ended() || t.State == JobCanceling:
 	case t.State == JobPending && t.inherited && !s.recovered(now):
-		// It may be running on a worker that is not fenced.
+		// A worker that has not accepted this owner's epoch may still run it.
 		t.State = JobCanceling
-		s.change(t)
-	case !t.sent:
+		s.markChanged(t)
+	case !t.maybeStarted:
 		s.finish(t, JobCancelled, "cancelled", now)
 	default:
-		t.State, t.grace, t.stopSent = JobCanceling, 0, time.Time{}
-		s.change(t)
+		t.State, t.gracePeriod, t.stopSentAt = JobCanceling, 0, time.Time{}
+		s.markChanged(t)
 	}
-	s.answers = append(s.answers, pendingAnswer{e.Request, max(t.changed, s.durable+1), e.Name, false})
-	s.urgent = true
+	s.pendingAnswers = append(s.pendingAnswers, pendingAnswer{e.Request, max(t.changedVersion, s.durableVersion+1), e.Name, false})
+	s.writeSoon = true
 }
 
-// importJobs takes over the jobs of a moved journal. It is idempotent by job name: an
-// import of the same or an older attempt changes nothing.
+// importJobs adds the jobs of another shard's journal. It is idempotent by job name: a job
+// that this shard already lists is skipped.
 func (s *Shard) importJobs(e JobsImported, now time.Time) {
 	for _, b := range e.Jobs {
-		if s.tasks[b.Spec.Name] != nil || s.records.find(b.Spec.Name) != nil {
+		if s.tasks[b.Spec.Name] != nil || s.history.find(b.Spec.Name) != nil {
 			continue
 		}
 		t := &task{JobEntry: b, kind: commander.KindBatch}
@@ -262,66 +275,67 @@
 			t.State, t.Decision = JobPending, "taken over from shard "+e.From
 		}
 		s.tasks[b.Spec.Name] = t
-		s.change(t)
-		t.submitted = t.changed
+		s.markChanged(t)
+		t.submittedVersion = t.changedVersion
 	}
-	s.urgent = true
+	s.writeSoon = true
 	s.version++
-	s.imports = append(s.imports, pendingImport{e.From, s.version})
+	s.pendingImports = append(s.pendingImports, pendingImport{e.From, s.version})
 }
 
 const (
-	// maxRecords and maxRecordsSize bound the records of ended jobs.
-	maxRecords     = 500
-	maxRecordsSize = 512 << 10
-	recordsEvery   = 10 * time.Second
+	// maxHistoryJobs and maxHistoryBytes bound the stored history of ended jobs.
+	maxHistoryJobs       = 500
+	maxHistoryBytes      = 512 << 10
+	historyWriteInterval = 10 * time.Second
 )
 
-// records are the shard's ended jobs, oldest first.
-type records struct {
-	jobs        []JobEntry
-	index       map[string]int
-	outstanding bool
-	moving      []string // names in the outstanding write
-	lastWrite   time.Time
+// jobHistory holds the ended jobs that were moved out of the journal, oldest first.
+type jobHistory struct {
+	jobs             []JobEntry
+	index            map[string]int // position in jobs by name
+	writeOutstanding bool
+	archiving        []string // names of the jobs that the outstanding write adds
+	lastWriteAt      time.Time
 }
 
-func newRecords() records { return records{index: make(map[string]int)} }
+func newJobHistory() jobHistory { return jobHistory{index: make(map[string]int)} }
 
-func (r *records) find(name string) *JobEntry {
-	if i, ok := r.index[name]; ok {
-		return &r.jobs[i]
+func (h *jobHistory) find(name string) *JobEntry {
+	if i, ok := h.index[name]; ok {
+		return &h.jobs[i]
 	}
 	return nil
 }
 
-// load reads the records. A value that cannot be decoded counts as empty: records are
-// for operators only.
-func (r *records) load(value []byte) {
+// load decodes the stored history. A value that cannot be decoded counts as empty, because
+// the history is shown to operators only.
+func (h *jobHistory) load(value []byte) {
 	var jobs []JobEntry
 	if len(value) == 0 || json.Unmarshal(value, &jobs) != nil {
 		return
 	}
-	r.set(jobs)
+	h.replace(jobs)
 }
 
-func (r *records) set(jobs []JobEntry) {
-	r.jobs = jobs[max(0, len(jobs)-maxRecords):]
-	r.index = make(map[string]int, len(r.jobs))
-	for i := range r.jobs {
-		r.index[r.jobs[i].Spec.Name] = i
+func (h *jobHistory) replace(jobs []JobEntry) {
+	h.jobs = jobs[max(0, len(jobs)-maxHistoryJobs):]
+	h.index = make(map[string]int, len(h.jobs))
+	for i := range h.jobs {
+		h.index[h.jobs[i].Spec.Name] = i
 	}
 }
 
-// writeRecords moves ended jobs from the journal to the records.
-func (s *Shard) writeRecords(now time.Time) {
-	r := &s.records
-	if r.outstanding || s.storeDown || now.Sub(r.lastWrite) < recordsEvery {
+// writeHistory adds ended jobs to the history and emits a write of it. Once the write has
+// succeeded, the jobs leave the journal.
+func (s *Shard) writeHistory(now time.Time) {
+	h := &s.history
+	if h.writeOutstanding || s.storeUnavailable || now.Sub(h.lastWriteAt) < historyWriteInterval {
 		return
 	}
 	var ended []JobEntry
 	for _, t := range s.tasks {
-		if t.kind == commander.KindBatch && t.State.Ended() && t.changed <= s.durable && r.find(t.Spec.Name) == nil {
+		if t.kind == commander.KindBatch && t.State.Ended() && t.changedVersion <= s.durableVersion && h.find(t.Spec.Name) == nil {
 			ended = append(ended, t.JobEntry)
 		}
 	}
@@ -331,37 +345,38 @@
 	slices.SortFunc(ended, func(a, b JobEntry) int {
 		return cmp.Or(a.Ended.Compare(b.Ended), cmp.Compare(a.Spec.Name, b.Spec.Name))
 	})
-	ended = ended[:min(len(ended), maxRecords)]
-	jobs := slices.Concat(r.jobs, ended)
-	jobs = jobs[max(0, len(jobs)-maxRecords):]
+	ended = ended[:min(len(ended), maxHistoryJobs)]
+	jobs := slices.Concat(h.jobs, ended)
+	jobs = jobs[max(0, len(jobs)-maxHistoryJobs):]
 	value, err := json.Marshal(jobs)
-	for err == nil && len(value) > maxRecordsSize && len(jobs) > 1 {
+	for err == nil && len(value) > maxHistoryBytes && len(jobs) > 1 {
 		jobs = jobs[(len(jobs)+1)/2:]
 		value, err = json.Marshal(jobs)
 	}
 	if err != nil {
 		return // unreachable: every field can be encoded
 	}
-	r.set(jobs)
-	r.outstanding, r.lastWrite, r.moving = true, now, nil
+	h.replace(jobs)
+	h.writeOutstanding, h.lastWriteAt, h.archiving = true, now, nil
 	for _, b := range ended {
-		r.moving = append(r.moving, b.Spec.Name)
+		h.archiving = append(h.archiving, b.Spec.Name)
 	}
 	s.emit(WriteRecords{Value: value})
 }
 
-// recordsWritten drops the moved jobs from the journal.
-func (s *Shard) recordsWritten(e RecordsWritten) {
-	s.records.outstanding = false
+// handleHistoryWritten removes the archived jobs from the journal or, if the write failed,
+// from the history.
+func (s *Shard) handleHistoryWritten(e RecordsWritten) {
+	s.history.writeOutstanding = false
 	if !e.Done {
-		// Their entries stay in the journal; the next write lists them again.
-		s.records.set(slices.DeleteFunc(s.records.jobs, func(b JobEntry) bool { return slices.Contains(s.records.moving, b.Spec.Name) }))
+		// The jobs stay in the journal; the next write of the history adds them again.
+		s.history.replace(slices.DeleteFunc(s.history.jobs, func(b JobEntry) bool { return slices.Contains(s.history.archiving, b.Spec.Name) }))
 		return
 	}
-	for _, name := range s.records.moving {
+	for _, name := range s.history.archiving {
 		if t := s.tasks[name]; t != nil && t.State.Ended() {
 			delete(s.tasks, name)
 		}
 	}
-	s.urgent = true
+	s.writeSoon = true
 }
