--- a/internal/limiter/budget.go
+++ b/internal/limiter/budget.go
@@ -1,23 +1,26 @@
 package limiter
 
 const (
-	// retryShare is the part of a service's fresh traffic that may be retried.
-	retryShare = 0.1
-	// maxRetryCredit bounds the retries saved up in quiet times, so that they cannot
-	// add to the load when a fault hits everything at once.
+	// retryBudgetRatio is the number of retries allowed per started request of a service.
+	retryBudgetRatio = 0.1
+	// maxRetryCredit bounds the retries accumulated while few attempts fail, so that a
+	// fault of all instances cannot cause a large burst of retries.
 	maxRetryCredit = 10.0
-	// immediateRetries is the number of retries of the baseline policy Immediate3.
-	immediateRetries = 3
+	// maxImmediateRetries is the number of retries per request under the baseline policy
+	// Immediate3.
+	maxImmediateRetries = 3
 )
 
-// budget counts the retries that a service's fresh traffic has earned. It starts empty,
-// so that retries never exceed retryShare of the requests started.
-type budget struct{ credit float64 }
+// retryBudget limits the retries of a service to a fraction of its started requests. It
+// starts empty, so that retries never exceed retryBudgetRatio of the requests started.
+type retryBudget struct{ credit float64 }
 
-func (b *budget) fresh() { b.credit = min(maxRetryCredit, b.credit+retryShare) }
+// earn adds the credit of one started request.
+func (b *retryBudget) earn() { b.credit = min(maxRetryCredit, b.credit+retryBudgetRatio) }
 
-func (b *budget) take() bool {
-	// Ten additions of 0.1 give slightly less than 1.
+// takeRetry reports whether a retry is within the budget, and spends the credit for it.
+func (b *retryBudget) takeRetry() bool {
+	// In floating point, ten additions of 0.1 give slightly less than 1.
 	const tolerance = 1e-9
 	if b.credit < 1-tolerance {
 		return false
--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -6,18 +6,21 @@
 	"peridotpitch/internal/configurator"
 )
 
-// Bounds of the queues.
+// Bounds of the queues, in requests unless stated otherwise.
 const (
-	// maxQueued bounds the waiting requests of a service. The memory of a service's
-	// queue is at most this number of requests.
-	maxQueued = 1024
-	// minQueued is always allowed to wait, because the observed rate is unknown at first.
-	minQueued = 64
-	// maxBacklog bounds the waiting requests to the work of this time at the observed
-	// rate. After a burst, 1 s of backlog took 3.5 s to drain at 70% load.
-	maxBacklog = 250 * time.Millisecond
-	// fixedQueued is the queue of the baseline policy Fixed.
-	fixedQueued = 100
+	// maxQueueCapacity bounds the waiting requests of a service, and with them the
+	// memory of its queue.
+	maxQueueCapacity = 1024
+	// minQueueCapacity is the number of requests that may always wait. The service rate
+	// is unknown at first.
+	minQueueCapacity = 64
+	// maxBacklogTime bounds the time that the waiting requests take to start at the
+	// observed service rate. With 1 s, the backlog of a burst took 3.5 s to drain at
+	// 70% load.
+	maxBacklogTime = 250 * time.Millisecond
+	// fixedQueueCapacity bounds the waiting requests of a service under the baseline
+	// policy Fixed.
+	fixedQueueCapacity = 100
 )
 
 // Bounds of Retry-After.
@@ -33,7 +36,7 @@
 	Teams   []configurator.Team
 }
 
-// Request is what the limiter needs to know about a request.
+// Request holds the attributes of a request that admission depends on.
 type Request struct {
 	ID       string
 	Service  string
@@ -48,26 +51,28 @@
 // Reasons.
 const (
 	ReasonQueueFull   Reason = "queue-full"   // the service's queue is full
-	ReasonTenantQuota Reason = "tenant-quota" // the queue is full and the tenant has more than its share of it
-	ReasonDeadline    Reason = "deadline"     // the deadline cannot be met
+	ReasonTenantQuota Reason = "tenant-quota" // the queue is full and the tenant exceeds its share of it
+	ReasonDeadline    Reason = "deadline"     // the request cannot finish before its deadline
 )
 
-// Action is what the caller must do with a request: Queue, Start or Drop.
+// Action tells the caller how to proceed with a request: Queue, Start or Drop.
 type Action interface{ action() }
 
-// Queue keeps the request waiting. Expire must be called at DropAt if it still waits.
+// Queue means that the request waits. The caller must call Expire at DropAt if the
+// request is still queued then.
 type Queue struct {
 	Request Request
 	DropAt  time.Time
 }
 
-// Start sends the request now. Release must be called when it ended.
+// Start means that the request may be sent now. The caller must call Release when the
+// request has ended.
 type Start struct {
 	Request Request
 	Waited  time.Duration
 }
 
-// Drop refuses the request with the final outcome not-run.
+// Drop means that the request is refused with the final outcome not-run.
 type Drop struct {
 	Request    Request
 	Reason     Reason
@@ -78,21 +83,21 @@
 func (Start) action() {}
 func (Drop) action()  {}
 
-// Limiter holds the queues of all services.
+// Limiter holds the queues, service time estimates and retry budgets of all services.
 type Limiter struct {
-	settings Settings
-	weights  map[string]float64 // by team
-	services map[string]*service
+	settings    Settings
+	teamWeights map[string]float64 // by team name
+	services    map[string]*service
 }
 
 // service is the state of one service.
 type service struct {
-	classes [2]class // urgent, normal
-	waiting map[string]*item
-	expiry  expiryHeap
-	running map[string]bool // by identity; true if it waited before it was started
-	times   times
-	budget  budget
+	classes      [2]classQueue // urgent, normal
+	waiting      map[string]*queueItem
+	byDeadline   deadlineHeap
+	running      map[string]bool // started requests by ID; true if the request was queued first
+	serviceTimes serviceTimes
+	retryBudget  retryBudget
 }
 
 // Positions in service.classes.
@@ -108,18 +113,19 @@
 	return l
 }
 
-// Configure replaces the settings and keeps the queues.
+// Configure replaces the settings. Queued requests stay queued.
 func (l *Limiter) Configure(s Settings) {
 	l.settings = s
-	l.weights = make(map[string]float64, len(s.Teams))
+	l.teamWeights = make(map[string]float64, len(s.Teams))
 	for _, t := range s.Teams {
 		if t.Share > 0 {
-			l.weights[t.Name] = t.Share
+			l.teamWeights[t.Name] = t.Share
 		}
 	}
 }
 
-// Retain forgets the services that are not listed and have no request.
+// Retain removes the state of services that are not listed and have neither queued nor
+// running requests.
 func (l *Limiter) Retain(services []string) {
 	listed := make(map[string]bool, len(services))
 	for _, s := range services {
@@ -135,43 +141,45 @@
 func (l *Limiter) service(name string) *service {
 	s := l.services[name]
 	if s == nil {
-		s = &service{waiting: make(map[string]*item), running: make(map[string]bool)}
+		s = &service{waiting: make(map[string]*queueItem), running: make(map[string]bool)}
 		l.services[name] = s
 	}
 	return s
 }
 
-// bucket returns the queue name and weight of a tenant. Tenants that are no team share
-// one bucket, which bounds the number of tracked tenants by the configuration.
-func (l *Limiter) bucket(tenant string) (string, float64) {
+// queueOf returns the name and weight of the tenant queue for a tenant. Tenants that are
+// not configured as teams share one queue, so that the configuration bounds the number
+// of queues.
+func (l *Limiter) queueOf(tenant string) (string, float64) {
 	if l.settings.Limits == configurator.LimitFixed {
 		return "", 1
 	}
-	if w, known := l.weights[tenant]; known {
+	if w, known := l.teamWeights[tenant]; known {
 		return tenant, w
 	}
 	return "", 1
 }
 
-// Offer queues or drops a new request. A full queue may drop a waiting request instead.
+// Offer queues or drops a new request. If the queue is full, it may drop a waiting
+// request in favour of the new one.
 func (l *Limiter) Offer(q Request, now time.Time) []Action {
 	s := l.service(q.Service)
 	if s.waiting[q.ID] != nil {
 		return nil
 	}
-	name, weight := l.bucket(q.Tenant)
-	it := &item{request: q, offered: now, bucket: name, class: normal}
+	name, weight := l.queueOf(q.Tenant)
+	it := &queueItem{request: q, offered: now, queueName: name, class: normal}
 	if q.Urgent && l.settings.Limits != configurator.LimitFixed {
 		it.class = urgent
 	}
 	if l.settings.Limits == configurator.LimitFixed {
 		return l.offerFixed(s, it, now)
 	}
-	if wait, known := s.expectedWait(it, weight, now); known && now.Add(wait+s.times.high(now)).After(q.Deadline) {
+	if wait, known := s.expectedWait(it, weight, now); known && now.Add(wait+s.serviceTimes.requiredTime(now)).After(q.Deadline) {
 		return []Action{Drop{q, ReasonDeadline, s.retryAfter(now)}}
 	}
 	var actions []Action
-	if len(s.waiting) >= s.capacity(now) {
+	if len(s.waiting) >= s.queueCapacity(now) {
 		victim := s.victim(it, weight)
 		if victim == nil || victim.request.ID == q.ID {
 			reason := ReasonQueueFull
@@ -184,31 +192,33 @@
 		actions = append(actions, Drop{victim.request, ReasonQueueFull, s.retryAfter(now)})
 	}
 	s.add(it, weight)
-	return append(actions, Queue{q, q.Deadline.Add(-s.times.high(now))})
+	return append(actions, Queue{q, q.Deadline.Add(-s.serviceTimes.requiredTime(now))})
 }
 
-func (l *Limiter) offerFixed(s *service, it *item, now time.Time) []Action {
-	if len(s.waiting) >= fixedQueued {
+func (l *Limiter) offerFixed(s *service, it *queueItem, now time.Time) []Action {
+	if len(s.waiting) >= fixedQueueCapacity {
 		return []Action{Drop{it.request, ReasonQueueFull, s.retryAfter(now)}}
 	}
 	s.add(it, 1)
 	return []Action{Queue{it.request, it.request.Deadline}}
 }
 
-// Next starts at most free requests of a service and drops those that are too late.
+// Next drops the queued requests of a service that can no longer finish before their
+// deadline, and starts up to free of the others.
 func (l *Limiter) Next(name string, free int, now time.Time) []Action {
 	s := l.services[name]
 	if s == nil {
 		return nil
 	}
-	// While there is room for all, a request needs only a fair chance to end in time.
-	needed := s.times.median(now)
+	// With a free slot for every waiting request, a start takes no slot from another
+	// request, so an even chance to finish before the deadline is sufficient.
+	needed := s.serviceTimes.median(now)
 	if len(s.waiting) > free {
-		needed = s.times.high(now)
+		needed = s.serviceTimes.requiredTime(now)
 	}
-	actions := s.expire(l.needed(needed), now)
+	actions := s.expire(l.requiredTime(needed), now)
 	for free > 0 {
-		it := s.first()
+		it := s.nextToStart()
 		if it == nil {
 			break
 		}
@@ -219,25 +229,27 @@
 	return actions
 }
 
-// Expire drops the queued requests of a service whose deadline cannot be met any more.
+// Expire drops the queued requests of a service that can no longer finish before their
+// deadline.
 func (l *Limiter) Expire(name string, now time.Time) []Action {
 	s := l.services[name]
 	if s == nil {
 		return nil
 	}
-	return s.expire(l.needed(s.times.high(now)), now)
+	return s.expire(l.requiredTime(s.serviceTimes.requiredTime(now)), now)
 }
 
-// needed is the time that a request must have left. The baseline Fixed ignores
-// observed service times.
-func (l *Limiter) needed(observed time.Duration) time.Duration {
+// requiredTime returns the time that must remain until a request's deadline, given the
+// observed service time. The baseline policy Fixed ignores service times.
+func (l *Limiter) requiredTime(observed time.Duration) time.Duration {
 	if l.settings.Limits == configurator.LimitFixed {
 		return 0
 	}
 	return observed
 }
 
-// Cancel removes a queued request whose caller gave up. It reports whether it waited.
+// Cancel removes a queued request that its caller canceled. It reports whether the
+// request was queued.
 func (l *Limiter) Cancel(q Request, _ time.Time) bool {
 	s := l.services[q.Service]
 	if s == nil || s.waiting[q.ID] == nil {
@@ -247,8 +259,8 @@
 	return true
 }
 
-// Release reports the end of a started request, with the time that its last attempt
-// took. Ran is false if it did not run; its time is then not a service time.
+// Release ends a started request. Took is the duration of its last attempt; it counts as
+// a service time only if ran is true.
 func (l *Limiter) Release(q Request, took time.Duration, ran bool, now time.Time) {
 	s := l.services[q.Service]
 	if s == nil {
@@ -262,19 +274,19 @@
 	if !ran {
 		return
 	}
-	s.times.add(took, now)
+	s.serviceTimes.addSample(took, now)
 	if waited {
-		s.times.judge(!now.Before(q.Deadline))
+		s.serviceTimes.adjustSafetyFactor(!now.Before(q.Deadline))
 	}
 }
 
-// RetryAllowed reports whether the service's budget allows the given retry (1 is the
-// first), and uses up the budget if it does.
+// RetryAllowed reports whether the retry policy allows the given retry of a request (1 is
+// the first). An allowed retry is deducted from the service's retry budget.
 func (l *Limiter) RetryAllowed(name string, retry int, _ time.Time) bool {
 	if l.settings.Retries == configurator.RetryImmediate3 {
-		return retry <= immediateRetries
+		return retry <= maxImmediateRetries
 	}
-	return l.service(name).budget.take()
+	return l.service(name).retryBudget.takeRetry()
 }
 
 // Queued returns the number of waiting requests of a service.
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -17,7 +17,7 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func fair(teams ...configurator.Team) Settings {
+func fairSettings(teams ...configurator.Team) Settings {
 	return Settings{Limits: configurator.LimitFair, Retries: configurator.RetryBudget, Teams: teams}
 }
 
@@ -28,35 +28,36 @@
 // abandonMargin is the router's AbandonMargin.
 const abandonMargin = 100 * time.Millisecond
 
-// simulation is a service with a number of slots and Poisson arrivals, in virtual time.
+// simulation simulates a service with a fixed number of slots and Poisson arrivals in
+// virtual time.
 type simulation struct {
-	limiter *Limiter
-	random  *rand.Rand
-	slots   int
-	mean    time.Duration
-	timeout time.Duration
-	now     time.Time
-	ends    endHeap
-	count   int
-	good    int // answered before the deadline
-	dropped int
-	waits   []time.Duration
+	limiter         *Limiter
+	random          *rand.Rand
+	slots           int
+	meanServiceTime time.Duration
+	timeout         time.Duration
+	now             time.Time
+	endEvents       endHeap
+	count           int
+	answeredInTime  int // answered before the deadline
+	dropped         int
+	waits           []time.Duration
 }
 
-// end is the end of a running request.
-type end struct {
-	at      time.Time
+// endEvent is the simulated end of a running request.
+type endEvent struct {
+	endsAt  time.Time
 	took    time.Duration
 	request Request
-	ran     bool // in time
+	inTime  bool // in time
 }
 
-type endHeap []end
+type endHeap []endEvent
 
 func (h endHeap) Len() int           { return len(h) }
-func (h endHeap) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
+func (h endHeap) Less(i, j int) bool { return h[i].endsAt.Before(h[j].endsAt) }
 func (h endHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *endHeap) Push(x any)        { *h = append(*h, x.(end)) }
+func (h *endHeap) Push(x any)        { *h = append(*h, x.(endEvent)) }
 func (h *endHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
@@ -66,29 +67,29 @@
 func newSimulation(l *Limiter) *simulation {
 	return &simulation{
 		limiter: l, random: rand.New(rand.NewPCG(7, 7)), slots: 16,
-		mean: 20 * time.Millisecond, timeout: 200 * time.Millisecond, now: epoch,
+		meanServiceTime: 20 * time.Millisecond, timeout: 200 * time.Millisecond, now: epoch,
 	}
 }
 
-// run offers requests at load times the capacity for the given time.
+// run offers requests for the given duration, at a rate of load times the capacity.
 func (s *simulation) run(load float64, lasting time.Duration) {
-	gap := float64(s.mean) / float64(s.slots) / load
+	gap := float64(s.meanServiceTime) / float64(s.slots) / load
 	until := s.now.Add(lasting)
 	next := s.now
 	for next.Before(until) {
-		for len(s.ends) > 0 && s.ends[0].at.Before(next) {
-			e := heap.Pop(&s.ends).(end)
-			s.now = e.at
+		for len(s.endEvents) > 0 && s.endEvents[0].endsAt.Before(next) {
+			e := heap.Pop(&s.endEvents).(endEvent)
+			s.now = e.endsAt
 			s.limiter.Release(e.request, e.took, true, s.now)
-			if e.ran {
-				s.good++
+			if e.inTime {
+				s.answeredInTime++
 			}
-			s.apply(s.limiter.Next("quotes", s.slots-len(s.ends), s.now))
+			s.apply(s.limiter.Next("quotes", s.slots-len(s.endEvents), s.now))
 		}
 		s.now = next
 		s.count++
 		s.apply(s.limiter.Offer(request(s.count, "", s.now.Add(s.timeout)), s.now))
-		s.apply(s.limiter.Next("quotes", s.slots-len(s.ends), s.now))
+		s.apply(s.limiter.Next("quotes", s.slots-len(s.endEvents), s.now))
 		next = next.Add(time.Duration(s.random.ExpFloat64() * gap))
 	}
 	s.now = until
@@ -104,12 +105,12 @@
 			took := s.serviceTime()
 			left := a.Request.Deadline.Sub(s.now)
 			if took <= left {
-				heap.Push(&s.ends, end{s.now.Add(took), took, a.Request, true})
+				heap.Push(&s.endEvents, endEvent{s.now.Add(took), took, a.Request, true})
 				continue
 			}
-			// The slot of an abandoned request counts as used until its deadline and a
-			// margin, as in the router.
-			heap.Push(&s.ends, end{s.now.Add(left + abandonMargin), left, a.Request, false})
+			// As in the router, the slot of an abandoned request counts as used until
+			// the deadline plus abandonMargin.
+			heap.Push(&s.endEvents, endEvent{s.now.Add(left + abandonMargin), left, a.Request, false})
 		}
 	}
 }
@@ -120,15 +121,15 @@
 	for range 4 {
 		sum += s.random.ExpFloat64() / 4
 	}
-	return time.Duration(sum * float64(s.mean))
+	return time.Duration(sum * float64(s.meanServiceTime))
 }
 
-// goodput is the number of requests answered in 20 s.
-func (s *simulation) goodput(load float64) int {
-	s.run(1, 2*time.Second) // until the estimates are formed
-	before := s.good
+// measureGoodput returns the number of requests answered before their deadline in 20 s.
+func (s *simulation) measureGoodput(load float64) int {
+	s.run(1, 2*time.Second) // collect service times first
+	before := s.answeredInTime
 	s.run(load, 20*time.Second)
-	return s.good - before
+	return s.answeredInTime - before
 }
 
 // Guards against collapse under overload: goodput at twice the capacity is at least 95%
@@ -138,7 +139,7 @@
 		measure := func(p configurator.LimitPolicy, load float64) int {
 			s := newSimulation(New(Settings{Limits: p}))
 			s.timeout = timeout
-			return s.goodput(load)
+			return s.measureGoodput(load)
 		}
 		once, twice := measure(configurator.LimitFair, 1), measure(configurator.LimitFair, 2)
 		t.Logf("timeout %v: Fair: %d at capacity, %d at twice; Fixed: %d, %d", timeout, once, twice,
@@ -152,7 +153,7 @@
 // Guards against a backlog that keeps delaying requests after a burst has ended.
 func TestRecoversAfterBurst(t *testing.T) {
 	is := is.New(t)
-	s := newSimulation(New(fair()))
+	s := newSimulation(New(fairSettings()))
 	s.timeout = 10 * time.Second // the deadline alone would allow a long backlog
 	s.run(0.7, 2*time.Second)
 	s.run(4, 5*time.Second)
@@ -161,13 +162,14 @@
 	s.run(0.7, 4*time.Second)
 	is.Equal(s.dropped, dropped)
 	waits := slices.Sorted(slices.Values(s.waits[started:]))
-	is.True(waits[len(waits)*99/100] < s.mean)
+	is.True(waits[len(waits)*99/100] < s.meanServiceTime)
 }
 
-// Guards against a queue that stays closed after the service was slow for a while.
-func TestEstimateRecovers(t *testing.T) {
+// Guards against a service that stays blocked after a slow period: if every request is
+// dropped because of the high estimate, no new sample can lower it.
+func TestServiceTimeEstimateRecovers(t *testing.T) {
 	is := is.New(t)
-	l, now := New(fair()), epoch
+	l, now := New(fairSettings()), epoch
 	for i := range 50 {
 		l.Offer(request(i, "", now.Add(time.Hour)), now)
 		l.Next("quotes", 1, now)
@@ -187,11 +189,11 @@
 	is.True(started(101))
 }
 
-// Guards against a doomed request that waits for its deadline, and against a refusal
-// without a hint when to come back.
-func TestDropsWhatCannotEndInTime(t *testing.T) {
+// Guards against queueing a request that cannot finish before its deadline, and against a
+// refusal without Retry-After.
+func TestDropsRequestsThatCannotMeetDeadline(t *testing.T) {
 	is := is.New(t)
-	l, now := New(fair()), epoch
+	l, now := New(fairSettings()), epoch
 	for i := range 20 {
 		l.Offer(request(i, "", now.Add(time.Minute)), now)
 		l.Next("quotes", 1, now)
@@ -202,7 +204,7 @@
 	queued, ok := l.Offer(request(101, "", now.Add(120*time.Millisecond)), now)[0].(Queue)
 	is.True(ok)
 	is.Equal(queued.DropAt, now.Add(70*time.Millisecond))
-	// It would start after 101 and end after 100 ms.
+	// It would start after request 101 and end after 100 ms.
 	drop, ok := l.Offer(request(102, "", now.Add(90*time.Millisecond)), now)[0].(Drop)
 	is.True(ok)
 	is.Equal(drop.Reason, ReasonDeadline)
@@ -212,11 +214,11 @@
 	is.Equal(l.Queued("quotes"), 0)
 }
 
-// Guards against one tenant taking the slots of others, against made-up tenant names as
-// a way to get more than one share, and against urgent requests waiting for others.
-func TestOrder(t *testing.T) {
+// Guards against a tenant exceeding its share of the slots, also by sending unknown
+// tenant names, and against urgent requests waiting behind normal ones.
+func TestSlotsSharedByTenantWeight(t *testing.T) {
 	is := is.New(t)
-	l := New(fair(configurator.Team{Name: "a", Share: 3}, configurator.Team{Name: "b", Share: 1}))
+	l := New(fairSettings(configurator.Team{Name: "a", Share: 3}, configurator.Team{Name: "b", Share: 1}))
 	now, id := epoch, 0
 	offer := func(tenant string, urgent bool) {
 		id++
@@ -237,16 +239,16 @@
 			is.True(q.Urgent)
 			continue
 		}
-		name, _ := l.bucket(q.Tenant)
+		name, _ := l.queueOf(q.Tenant)
 		count[name]++
 	}
 	is.Equal(count, map[string]int{"a": 15, "b": 5, "": 5})
 }
 
-// Guards against requests that were dropped or given up counting against their tenant.
+// Guards against canceled requests counting against their tenant's share.
 func TestCancelledRequestsCostNoShare(t *testing.T) {
 	is := is.New(t)
-	l := New(fair(configurator.Team{Name: "a", Share: 1}, configurator.Team{Name: "b", Share: 1}))
+	l := New(fairSettings(configurator.Team{Name: "a", Share: 1}, configurator.Team{Name: "b", Share: 1}))
 	for i := range 10 {
 		l.Offer(request(i, "a", epoch.Add(time.Hour)), epoch)
 		l.Offer(request(100+i, "b", epoch.Add(time.Hour)), epoch)
@@ -264,28 +266,28 @@
 	is.Equal(count, map[string]int{"a": 5, "b": 5})
 }
 
-// Guards against a tenant that fills the queue and shuts the others out.
-func TestFullQueueDropsFromTheLargest(t *testing.T) {
+// Guards against a tenant that fills the queue so that requests of others are dropped.
+func TestFullQueueDropsFromLargestTenant(t *testing.T) {
 	is := is.New(t)
-	l := New(fair(configurator.Team{Name: "a", Share: 1}, configurator.Team{Name: "b", Share: 1}))
-	for i := range minQueued {
+	l := New(fairSettings(configurator.Team{Name: "a", Share: 1}, configurator.Team{Name: "b", Share: 1}))
+	for i := range minQueueCapacity {
 		l.Offer(request(i, "a", epoch.Add(time.Hour)), epoch)
 	}
 	drop := l.Offer(request(1000, "a", epoch.Add(time.Hour)), epoch)[0].(Drop)
 	is.Equal(drop.Reason, ReasonTenantQuota)
 	is.Equal(drop.Request.ID, "1000")
 	actions := l.Offer(request(1001, "b", epoch.Add(time.Hour)), epoch)
-	is.Equal(actions[0].(Drop).Request.ID, fmt.Sprint(minQueued-1)) // the newest of a
+	is.Equal(actions[0].(Drop).Request.ID, fmt.Sprint(minQueueCapacity-1)) // the newest request of tenant a
 	is.Equal(actions[1].(Queue).Request.ID, "1001")
 }
 
-// Guards against lost or doubled requests and against unbounded state, in any order of
-// calls: each offered request is started, dropped or cancelled exactly once, retries
-// stay within 10% of the starts, and no request starts after its deadline.
-func TestModel(t *testing.T) {
+// Guards against lost or duplicated requests and against unbounded state under random
+// sequences of calls: each offered request is started, dropped or canceled exactly once,
+// retries stay within 10% of the starts, and no request starts after its deadline.
+func TestRandomCallSequences(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		teams := []configurator.Team{{Name: "a", Share: 1}, {Name: "b", Share: 2.5}}
-		l, now := New(fair(teams...)), epoch
+		l, now := New(fairSettings(teams...)), epoch
 		open, running := map[string]Request{}, []Request{}
 		starts, retries, id := 0, 0, 0
 		apply := func(actions []Action) {
@@ -293,14 +295,14 @@
 				switch a := a.(type) {
 				case Start:
 					if _, known := open[a.Request.ID]; !known || now.After(a.Request.Deadline) {
-						t.Fatalf("started %v at %v", a.Request, now)
+						t.Fatalf("request %v was started at %v, after its deadline or twice", a.Request, now)
 					}
 					delete(open, a.Request.ID)
 					running = append(running, a.Request)
 					starts++
 				case Drop:
 					if _, known := open[a.Request.ID]; !known {
-						t.Fatalf("dropped %v, which does not wait", a.Request)
+						t.Fatalf("request %v was dropped but is not queued", a.Request)
 					}
 					delete(open, a.Request.ID)
 				}
@@ -317,9 +319,9 @@
 					apply(l.Offer(q, now))
 				}
 			},
-			"next":   func(t *rapid.T) { apply(l.Next("quotes", rapid.IntRange(0, 9).Draw(t, "free"), now)) },
-			"later":  func(t *rapid.T) { now = now.Add(time.Duration(rapid.IntRange(1, 90).Draw(t, "ms")) * time.Millisecond) },
-			"expire": func(*rapid.T) { apply(l.Expire("quotes", now)) },
+			"next":          func(t *rapid.T) { apply(l.Next("quotes", rapid.IntRange(0, 9).Draw(t, "free"), now)) },
+			"let time pass": func(t *rapid.T) { now = now.Add(time.Duration(rapid.IntRange(1, 90).Draw(t, "ms")) * time.Millisecond) },
+			"expire":        func(*rapid.T) { apply(l.Expire("quotes", now)) },
 			"retry": func(*rapid.T) {
 				if l.RetryAllowed("quotes", 1, now) {
 					retries++
@@ -328,7 +330,7 @@
 			"cancel": func(t *rapid.T) {
 				for _, q := range open {
 					if !l.Cancel(q, now) {
-						t.Fatalf("%v did not wait", q)
+						t.Fatalf("request %v was not queued when canceled", q)
 					}
 					delete(open, q.ID)
 					break
@@ -342,16 +344,16 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				if l.Queued("quotes") != len(open) || len(open) > maxQueued {
-					t.Fatalf("%d wait, model has %d", l.Queued("quotes"), len(open))
+				if l.Queued("quotes") != len(open) || len(open) > maxQueueCapacity {
+					t.Fatalf("%d requests are queued, the model has %d", l.Queued("quotes"), len(open))
 				}
-				if float64(retries) > math.Ceil(retryShare*float64(starts)) {
-					t.Fatalf("%d retries of %d starts", retries, starts)
+				if float64(retries) > math.Ceil(retryBudgetRatio*float64(starts)) {
+					t.Fatalf("%d retries for %d started requests", retries, starts)
 				}
 				if s := l.services["quotes"]; s != nil {
 					for _, c := range s.classes {
 						if len(c.tenants) > len(teams)+1 {
-							t.Fatalf("%d tenants tracked", len(c.tenants))
+							t.Fatalf("%d tenant queues, want at most %d", len(c.tenants), len(teams)+1)
 						}
 					}
 				}
@@ -360,14 +362,15 @@
 	})
 }
 
-// Guards against a changed baseline: comparisons rest on it.
-func TestBaselines(t *testing.T) {
+// Guards against changes of the baseline policies Fixed and Immediate3, with which the
+// policies in use are compared.
+func TestBaselinePolicies(t *testing.T) {
 	is := is.New(t)
 	l := New(Settings{Limits: configurator.LimitFixed, Retries: configurator.RetryImmediate3})
-	for i := range fixedQueued + 1 {
+	for i := range fixedQueueCapacity + 1 {
 		l.Offer(request(i, "a", epoch.Add(time.Second)), epoch)
 	}
-	is.Equal(l.Queued("quotes"), fixedQueued)
+	is.Equal(l.Queued("quotes"), fixedQueueCapacity)
 	is.True(l.RetryAllowed("quotes", 3, epoch))
 	is.True(!l.RetryAllowed("quotes", 4, epoch))
 }
--- a/internal/limiter/queue.go
+++ b/internal/limiter/queue.go
@@ -6,101 +6,105 @@
 	"time"
 )
 
-// item is a waiting request.
-type item struct {
-	request Request
-	offered time.Time
-	bucket  string
-	class   int
-	tag     float64 // virtual start time
-	index   int     // position in the expiry heap
+// queueItem is a waiting request.
+type queueItem struct {
+	request   Request
+	offered   time.Time
+	queueName string
+	class     int
+	startTag  float64 // virtual start time
+	heapIndex int     // position in service.byDeadline
 }
 
-// class holds the waiting requests of one urgency and shares the slots between tenants
+// classQueue holds the waiting requests of one urgency and shares the slots between tenants
 // by start-time fair queueing: each request costs 1/weight of virtual time.
-type class struct {
-	tenants map[string]*tenant
-	virtual float64 // start tag of the request that was started last
+type classQueue struct {
+	tenants     map[string]*tenantQueue
+	virtualTime float64 // highest start tag of a started request
 }
 
-type tenant struct {
-	weight float64
-	finish float64 // virtual finish time of its last request
-	items  []*item // oldest first
+type tenantQueue struct {
+	weight    float64
+	finishTag float64      // virtual finish time of the last queued request
+	items     []*queueItem // oldest first
 }
 
-func (s *service) add(it *item, weight float64) {
+// add queues a request.
+func (s *service) add(it *queueItem, weight float64) {
 	c := &s.classes[it.class]
 	if c.tenants == nil {
-		c.tenants = make(map[string]*tenant)
+		c.tenants = make(map[string]*tenantQueue)
 	}
-	t := c.tenants[it.bucket]
+	t := c.tenants[it.queueName]
 	if t == nil {
-		t = &tenant{finish: c.virtual}
-		c.tenants[it.bucket] = t
+		t = &tenantQueue{finishTag: c.virtualTime}
+		c.tenants[it.queueName] = t
 	}
 	t.weight = weight
-	it.tag = max(c.virtual, t.finish)
-	t.finish = it.tag + 1/weight
+	it.startTag = max(c.virtualTime, t.finishTag)
+	t.finishTag = it.startTag + 1/weight
 	t.items = append(t.items, it)
 	s.waiting[it.request.ID] = it
-	heap.Push(&s.expiry, it)
+	heap.Push(&s.byDeadline, it)
 }
 
-// remove takes a request out that will not be started. Requests behind it move up, so
-// that a dropped request costs its tenant nothing.
-func (s *service) remove(it *item) {
-	t := s.classes[it.class].tenants[it.bucket]
+// remove removes a request that will not be started. The tenant's later requests take
+// over the start tags before them, so that a dropped request does not count against the
+// tenant's share.
+func (s *service) remove(it *queueItem) {
+	t := s.classes[it.class].tenants[it.queueName]
 	at := slices.Index(t.items, it)
 	for i := len(t.items) - 1; i > at; i-- {
-		t.items[i].tag = t.items[i-1].tag
+		t.items[i].startTag = t.items[i-1].startTag
 	}
-	t.finish -= 1 / t.weight
+	t.finishTag -= 1 / t.weight
 	t.items = slices.Delete(t.items, at, at+1)
-	s.forget(it)
+	s.unindex(it)
 }
 
-// start takes the first request of its tenant out.
-func (s *service) start(it *item, now time.Time) {
+// start moves a request from the front of its tenant's queue to the running requests.
+func (s *service) start(it *queueItem, now time.Time) {
 	c := &s.classes[it.class]
-	c.virtual = max(c.virtual, it.tag)
-	t := c.tenants[it.bucket]
+	c.virtualTime = max(c.virtualTime, it.startTag)
+	t := c.tenants[it.queueName]
 	t.items = slices.Delete(t.items, 0, 1)
-	s.forget(it)
+	s.unindex(it)
 	s.running[it.request.ID] = now.After(it.offered)
-	s.budget.fresh()
-	// A tenant that waits for nothing keeps its tag until the others have caught up.
+	s.retryBudget.earn()
+	// A tenant without waiting requests keeps its finish tag until the virtual time has
+	// reached it. Otherwise it could exceed its share by queueing again at once.
 	for name, t := range c.tenants {
-		if len(t.items) == 0 && t.finish <= c.virtual {
+		if len(t.items) == 0 && t.finishTag <= c.virtualTime {
 			delete(c.tenants, name)
 		}
 	}
 }
 
-func (s *service) forget(it *item) {
+// unindex removes a request from the lookup by ID and from the deadline heap.
+func (s *service) unindex(it *queueItem) {
 	delete(s.waiting, it.request.ID)
-	heap.Remove(&s.expiry, it.index)
+	heap.Remove(&s.byDeadline, it.heapIndex)
 }
 
-// expiryHeap orders items by deadline.
-type expiryHeap []*item
+// deadlineHeap orders items by deadline.
+type deadlineHeap []*queueItem
 
-func (h expiryHeap) Len() int           { return len(h) }
-func (h expiryHeap) Less(i, j int) bool { return h[i].request.Deadline.Before(h[j].request.Deadline) }
-func (h expiryHeap) Swap(i, j int) {
+func (h deadlineHeap) Len() int           { return len(h) }
+func (h deadlineHeap) Less(i, j int) bool { return h[i].request.Deadline.Before(h[j].request.Deadline) }
+func (h deadlineHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].index, h[j].index = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
-func (h *expiryHeap) Push(x any) {
-	it := x.(*item)
-	it.index = len(*h)
+func (h *deadlineHeap) Push(x any) {
+	it := x.(*queueItem)
+	it.heapIndex = len(*h)
 	*h = append(*h, it)
 }
 
 // Pop implements heap.Interface.
-func (h *expiryHeap) Pop() any {
+func (h *deadlineHeap) Pop() any {
 	last := len(*h) - 1
 	it := (*h)[last]
 	(*h)[last] = nil
@@ -108,11 +112,11 @@
 	return it
 }
 
-// expire drops the requests that have less than needed left.
+// expire drops the requests with less than the needed time until their deadline.
 func (s *service) expire(needed time.Duration, now time.Time) []Action {
 	var actions []Action
-	for len(s.expiry) > 0 {
-		it := s.expiry[0]
+	for len(s.byDeadline) > 0 {
+		it := s.byDeadline[0]
 		if !now.Add(needed).After(it.request.Deadline) {
 			break
 		}
@@ -122,10 +126,11 @@
 	return actions
 }
 
-// expectedWait is how long a new request would wait behind those that are started
-// before it, at the rate at which running requests end.
-func (s *service) expectedWait(it *item, weight float64, now time.Time) (time.Duration, bool) {
-	mean := s.times.mean(now)
+// expectedWait estimates how long a new request would wait for the requests that are
+// started before it, at the rate at which running requests end. It reports false if that
+// rate is unknown or nothing waits.
+func (s *service) expectedWait(it *queueItem, weight float64, now time.Time) (time.Duration, bool) {
+	mean := s.serviceTimes.mean(now)
 	if len(s.running) == 0 || mean <= 0 || len(s.waiting) == 0 {
 		return 0, false
 	}
@@ -137,11 +142,11 @@
 	}
 	own := 0
 	tenants := s.classes[it.class].tenants
-	if t := tenants[it.bucket]; t != nil {
+	if t := tenants[it.queueName]; t != nil {
 		own = len(t.items)
 	}
 	for name, t := range tenants {
-		if name == it.bucket {
+		if name == it.queueName {
 			ahead += float64(own)
 			continue
 		}
@@ -150,23 +155,24 @@
 	return time.Duration(ahead * float64(mean) / float64(len(s.running))), true
 }
 
-// capacity is how many requests may wait now.
-func (s *service) capacity(now time.Time) int {
-	mean := s.times.mean(now)
+// queueCapacity returns the number of requests that may wait, which is the backlog of
+// maxBacklogTime at the observed service rate.
+func (s *service) queueCapacity(now time.Time) int {
+	mean := s.serviceTimes.mean(now)
 	if mean <= 0 || len(s.running) == 0 {
-		return minQueued
+		return minQueueCapacity
 	}
-	work := float64(maxBacklog) / float64(mean) * float64(len(s.running))
-	return int(min(max(work, minQueued), maxQueued))
+	work := float64(maxBacklogTime) / float64(mean) * float64(len(s.running))
+	return int(min(max(work, minQueueCapacity), maxQueueCapacity))
 }
 
-// victim is the request to drop from a full queue in favour of the offered one: the
-// newest of the tenant with the most waiting requests for its weight. A normal request
-// is dropped before an urgent one. Nil or the offered request itself mean that the
-// offered one is dropped.
-func (s *service) victim(offered *item, weight float64) *item {
+// victim returns the request to drop from a full queue in favour of the offered one: the
+// newest request of the tenant with the most waiting requests relative to its weight.
+// Normal requests are dropped before urgent ones. If the result is nil or the offered
+// request itself, the offered request is dropped.
+func (s *service) victim(offered *queueItem, weight float64) *queueItem {
 	for i := normal; i >= offered.class; i-- {
-		var newest *item
+		var newest *queueItem
 		most := 0.0
 		for name, t := range s.classes[i].tenants {
 			if len(t.items) == 0 {
@@ -174,8 +180,8 @@
 			}
 			excess := float64(len(t.items)) / t.weight
 			last := t.items[len(t.items)-1]
-			// Equal excess is decided by name, so that a run can be repeated.
-			if newest == nil || excess > most || excess == most && name < newest.bucket {
+			// Ties are broken by name, because the order of map iteration is random.
+			if newest == nil || excess > most || excess == most && name < newest.queueName {
 				newest, most = last, excess
 			}
 		}
@@ -186,7 +192,7 @@
 			return newest
 		}
 		own := 1.0
-		if t := s.classes[i].tenants[offered.bucket]; t != nil {
+		if t := s.classes[i].tenants[offered.queueName]; t != nil {
 			own += float64(len(t.items))
 		}
 		if own/weight > most {
@@ -197,17 +203,18 @@
 	return nil
 }
 
-// first is the request to start next.
-func (s *service) first() *item {
+// nextToStart returns the request with the lowest start tag, urgent requests first, or
+// nil.
+func (s *service) nextToStart() *queueItem {
 	for i := range s.classes {
 		c := &s.classes[i]
-		var first *item
+		var first *queueItem
 		for _, t := range c.tenants {
 			if len(t.items) == 0 {
 				continue
 			}
 			it := t.items[0]
-			if first == nil || it.tag < first.tag || it.tag == first.tag && it.bucket < first.bucket {
+			if first == nil || it.startTag < first.startTag || it.startTag == first.startTag && it.queueName < first.queueName {
 				first = it
 			}
 		}
@@ -218,9 +225,10 @@
 	return nil
 }
 
-// retryAfter is the time in which the waiting requests will have been started.
+// retryAfter estimates the time until all waiting requests have been started, within the
+// bounds of Retry-After.
 func (s *service) retryAfter(now time.Time) time.Duration {
-	mean := s.times.mean(now)
+	mean := s.serviceTimes.mean(now)
 	if len(s.running) == 0 || mean <= 0 {
 		return minRetryAfter
 	}
--- a/internal/limiter/times.go
+++ b/internal/limiter/times.go
@@ -6,79 +6,85 @@
 )
 
 const (
-	// sampleCount is the number of service times kept for each service.
-	sampleCount = 256
-	// sortInterval is the number of samples after which the quantiles are recomputed.
-	sortInterval = 16
-	// highQuantile is the part of requests that end within the time that a queued
-	// request must have left. With the median, half of the requests started at the
-	// last moment would run in vain.
-	highQuantile = 0.99
-	// A request that waited, was started and then missed its deadline did not have enough
-	// time left: the time needed is multiplied by safetyStep, up to maxSafety, and by
-	// safetyDecay after each one that did not miss. This settles at about one miss in
-	// 800. Each miss costs the rest of the deadline and the router's AbandonMargin: with
-	// the p95 alone, goodput at twice the capacity fell to 84% in simulation.
-	safetyStep  = 1.5
-	safetyDecay = 0.9995
-	maxSafety   = 8.0
-	// sampleMemory is the time in which the estimates halve without a new sample. If
-	// every request is dropped because the service was slow, this lets some through.
-	sampleMemory = 2 * time.Second
+	// maxSamples bounds the service times kept for each service.
+	maxSamples = 256
+	// samplesPerRecompute is the number of samples between two computations of the
+	// mean and the quantiles.
+	samplesPerRecompute = 16
+	// requiredTimeQuantile is the quantile of the service time that must remain until a
+	// queued request's deadline. With the median, half of the requests started at the
+	// last moment would miss their deadline.
+	requiredTimeQuantile = 0.99
+	// The safety factor multiplies the quantile. It adapts to the requests that were
+	// queued and started but missed their deadline, because each of them occupies its slot
+	// until the deadline plus the router's AbandonMargin. With the p95 and no factor,
+	// goodput at twice the capacity fell to 84% in simulation.
+	//
+	// safetyIncrease multiplies the safety factor after each missed deadline.
+	safetyIncrease = 1.5
+	// safetyDecrease multiplies the safety factor after each queued request that met its
+	// deadline. Together with safetyIncrease it leads to about one miss in 800 requests.
+	safetyDecrease = 0.9995
+	// maxSafetyFactor bounds the safety factor.
+	maxSafetyFactor = 8.0
+	// sampleHalfLife is the time in which the estimates halve without a new sample. If
+	// every request is dropped because the service was slow, the decay admits some again.
+	sampleHalfLife = 2 * time.Second
 )
 
-// times estimates the service time from the latest samples.
-type times struct {
-	samples  [sampleCount]time.Duration
-	count    int // samples ever added
-	latest   time.Time
-	average  time.Duration
-	middle   time.Duration
-	quantile time.Duration
-	safety   float64 // at least 1; 0 stands for 1
+// serviceTimes estimates the service time from the latest samples.
+type serviceTimes struct {
+	samples      [maxSamples]time.Duration
+	sampleCount  int // samples ever added
+	lastSampleAt time.Time
+	meanTime     time.Duration
+	medianTime   time.Duration
+	highTime     time.Duration // at requiredTimeQuantile
+	safetyFactor float64       // values below 1 count as 1
 }
 
-func (t *times) add(d time.Duration, now time.Time) {
-	t.samples[t.count%sampleCount] = d
-	t.count++
-	t.latest = now
-	if t.count < sortInterval || t.count%sortInterval == 0 {
-		t.compute()
+func (t *serviceTimes) addSample(d time.Duration, now time.Time) {
+	t.samples[t.sampleCount%maxSamples] = d
+	t.sampleCount++
+	t.lastSampleAt = now
+	if t.sampleCount < samplesPerRecompute || t.sampleCount%samplesPerRecompute == 0 {
+		t.recompute()
 	}
 }
 
-func (t *times) compute() {
-	sorted := slices.Clone(t.samples[:min(t.count, sampleCount)])
+func (t *serviceTimes) recompute() {
+	sorted := slices.Clone(t.samples[:min(t.sampleCount, maxSamples)])
 	slices.Sort(sorted)
 	var sum time.Duration
 	for _, d := range sorted {
 		sum += d
 	}
-	t.average = sum / time.Duration(len(sorted))
-	t.middle = sorted[len(sorted)/2]
-	t.quantile = sorted[int(highQuantile*float64(len(sorted)-1))]
+	t.meanTime = sum / time.Duration(len(sorted))
+	t.medianTime = sorted[len(sorted)/2]
+	t.highTime = sorted[int(requiredTimeQuantile*float64(len(sorted)-1))]
 }
 
-func (t *times) mean(now time.Time) time.Duration   { return t.decayed(t.average, now) }
-func (t *times) median(now time.Time) time.Duration { return t.decayed(t.middle, now) }
+func (t *serviceTimes) mean(now time.Time) time.Duration   { return t.decayed(t.meanTime, now) }
+func (t *serviceTimes) median(now time.Time) time.Duration { return t.decayed(t.medianTime, now) }
 
-// high is the time that a queued request must have left.
-func (t *times) high(now time.Time) time.Duration {
-	return t.decayed(time.Duration(float64(t.quantile)*max(1, t.safety)), now)
+// requiredTime returns the time that must remain until a queued request's deadline.
+func (t *serviceTimes) requiredTime(now time.Time) time.Duration {
+	return t.decayed(time.Duration(float64(t.highTime)*max(1, t.safetyFactor)), now)
 }
 
-// judge adjusts the safety factor after a request that had waited.
-func (t *times) judge(missed bool) {
+// adjustSafetyFactor updates the safety factor after a request that was queued before it
+// was started. Missed states whether it missed its deadline.
+func (t *serviceTimes) adjustSafetyFactor(missed bool) {
 	if missed {
-		t.safety = min(max(1, t.safety)*safetyStep, maxSafety)
+		t.safetyFactor = min(max(1, t.safetyFactor)*safetyIncrease, maxSafetyFactor)
 	} else {
-		t.safety *= safetyDecay
+		t.safetyFactor *= safetyDecrease
 	}
 }
 
-// decayed halves d for each sampleMemory since the latest sample.
-func (t *times) decayed(d time.Duration, now time.Time) time.Duration {
-	for age := now.Sub(t.latest); age >= sampleMemory && d > 0; age -= sampleMemory {
+// decayed halves d for each sampleHalfLife since the latest sample.
+func (t *serviceTimes) decayed(d time.Duration, now time.Time) time.Duration {
+	for age := now.Sub(t.lastSampleAt); age >= sampleHalfLife && d > 0; age -= sampleHalfLife {
 		d /= 2
 	}
 	return d
