--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -15,22 +15,23 @@
 	"peridotpitch/internal/router"
 )
 
-// startInterval is how often waiting requests are started in slots that became free
-// without an event: a grant or an abandoned request's slot ended its time.
+// startInterval is the interval at which waiting requests are started in slots that
+// became free without a call: by the expiry of a grant or of an abandoned request's slot.
 const startInterval = 25 * time.Millisecond
 
 // Sender makes one attempt at a backend server. *forwarder.Forwarder implements it.
 type Sender interface {
 	Send(ctx context.Context, q forwarder.Request) forwarder.Result
-	// Retain sets the bound of connections of each instance and forgets all others.
+	// Retain sets the maximum number of connections by instance and drops the state of
+	// instances that are not listed.
 	Retain(connections map[string]int)
 }
 
 // Overflow sends requests to entry hosts of other failure domains.
 type Overflow interface {
-	// Target names an entry host with free slots for the service; false if there is none.
+	// Target returns an entry host with free slots for the service, if there is one.
 	Target(service string) (host string, found bool)
-	// Forward sends the request. Sent is false if no part of it left this host.
+	// Forward sends the request to the host. Sent is false if no part of it left this host.
 	Forward(ctx context.Context, host string, m messenger.ForwardRequest) (a messenger.ForwardAnswer, sent bool, err error)
 }
 
@@ -45,25 +46,27 @@
 
 // Dispatcher implements receiver.Handler. It is safe for concurrent use.
 type Dispatcher struct {
-	settings Settings
-	mutex    sync.Mutex
-	waiting  map[string]*waiter // by request identity
-	services map[string]int     // waiting requests by service
-	// arrived holds the identities of requests forwarded here until their deadline, so
-	// that a message that arrives twice does not run twice.
-	arrived map[string]time.Time
+	settings         Settings
+	mutex            sync.Mutex
+	waiting          map[string]*waiter // by request ID
+	waitingByService map[string]int     // number of waiting requests
+	// receivedForwards holds the IDs of requests that were forwarded to this host, with the
+	// time until which they are kept, so that a message that is delivered twice does not
+	// run twice.
+	receivedForwards map[string]time.Time
 }
 
 var _ receiver.Handler = (*Dispatcher)(nil)
 
-// waiter is a request that waits for its verdict: a limiter.Drop or a start.
+// waiter is a request that waits for its admission result: an admitted, a limiter.Drop or
+// a router.None.
 type waiter struct {
-	verdict chan any // buffered; gets exactly one value
+	result  chan any // buffered; receives exactly one value
 	service string
 }
 
-// start is the verdict that the request holds an admission and a slot.
-type start struct {
+// admitted is the admission result of a request that holds a slot of an instance.
+type admitted struct {
 	choice router.Instance
 	waited time.Duration
 }
@@ -71,10 +74,10 @@
 // New returns a dispatcher and a function that stops its goroutine.
 func New(s Settings) (*Dispatcher, func()) {
 	d := &Dispatcher{
-		settings: s,
-		waiting:  make(map[string]*waiter),
-		services: make(map[string]int),
-		arrived:  make(map[string]time.Time),
+		settings:         s,
+		waiting:          make(map[string]*waiter),
+		waitingByService: make(map[string]int),
+		receivedForwards: make(map[string]time.Time),
 	}
 	stop := make(chan struct{})
 	var group sync.WaitGroup
@@ -94,38 +97,39 @@
 			return
 		case <-t.C:
 			d.mutex.Lock()
-			d.startAll(time.Now())
+			d.startAllServices(time.Now())
 			d.mutex.Unlock()
 		}
 	}
 }
 
-// startAll starts waiting requests of every service and forgets old identities. The mutex must be held.
-func (d *Dispatcher) startAll(now time.Time) {
-	for _, service := range slices.Sorted(maps.Keys(d.services)) {
+// startAllServices starts waiting requests of every service and removes expired IDs of
+// forwarded requests. The mutex must be held.
+func (d *Dispatcher) startAllServices(now time.Time) {
+	for _, service := range slices.Sorted(maps.Keys(d.waitingByService)) {
 		d.startWaiting(service, now)
 	}
-	maps.DeleteFunc(d.arrived, func(_ string, until time.Time) bool { return !until.After(now) })
+	maps.DeleteFunc(d.receivedForwards, func(_ string, until time.Time) bool { return !until.After(now) })
 }
 
-// startWaiting starts as many waiting requests of a service as have a free slot. The
+// startWaiting starts as many waiting requests of a service as there are free slots. The
 // mutex must be held.
 func (d *Dispatcher) startWaiting(service string, now time.Time) {
-	if d.services[service] == 0 {
+	if d.waitingByService[service] == 0 {
 		return
 	}
 	d.apply(d.settings.Limiter.Next(service, d.settings.Router.Free(service, now), now), now)
 	d.settings.Router.Want(service, d.settings.Limiter.Queued(service), now)
 }
 
-// apply gives waiting requests the verdicts of the limiter. The mutex must be held.
+// apply carries out the actions of the limiter. The mutex must be held.
 func (d *Dispatcher) apply(actions []limiter.Action, now time.Time) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case limiter.Drop:
-			d.decide(a.Request.ID, a)
+			d.resolve(a.Request.ID, a)
 		case limiter.Start:
-			if d.waiting[a.Request.ID] == nil { // given up; a slot would never be returned
+			if d.waiting[a.Request.ID] == nil { // canceled; nobody would return the slot
 				d.settings.Limiter.Release(a.Request, 0, false, now)
 				continue
 			}
@@ -134,32 +138,34 @@
 			}, now)
 			switch c := c.(type) {
 			case router.Instance:
-				d.decide(a.Request.ID, start{choice: c, waited: a.Waited})
+				d.resolve(a.Request.ID, admitted{choice: c, waited: a.Waited})
 			case router.None:
 				d.settings.Limiter.Release(a.Request, 0, false, now)
-				d.decide(a.Request.ID, c)
+				d.resolve(a.Request.ID, c)
 			}
 		}
 	}
 }
 
-func (d *Dispatcher) decide(id string, verdict any) {
+// resolve delivers the admission result to a waiting request. The mutex must be held.
+func (d *Dispatcher) resolve(id string, result any) {
 	w := d.waiting[id]
 	if w == nil {
 		return
 	}
-	d.forget(id, w)
-	w.verdict <- verdict
+	d.removeWaiter(id, w)
+	w.result <- result
 }
 
-func (d *Dispatcher) forget(id string, w *waiter) {
+// removeWaiter removes a request from the waiting ones. The mutex must be held.
+func (d *Dispatcher) removeWaiter(id string, w *waiter) {
 	delete(d.waiting, id)
-	if d.services[w.service]--; d.services[w.service] <= 0 {
-		delete(d.services, w.service)
+	if d.waitingByService[w.service]--; d.waitingByService[w.service] <= 0 {
+		delete(d.waitingByService, w.service)
 	}
 }
 
-// Configure takes a new generation's policies, teams and services.
+// Configure applies the policies, teams and services of a new configuration generation.
 func (d *Dispatcher) Configure(c *configurator.Configuration) {
 	names := make([]string, 0, len(c.Services))
 	for _, s := range c.Services {
@@ -174,26 +180,26 @@
 	d.settings.Limiter.Retain(names)
 }
 
-// Update replaces the instances of the failure domain and the number of entry hosts.
+// Update replaces the instances of the failure domain and its number of entry hosts.
 func (d *Dispatcher) Update(endpoints []messenger.Endpoint, m router.Membership) {
 	now := time.Now()
 	d.mutex.Lock()
 	d.settings.Router.Update(endpoints, m, now)
 	connections := d.settings.Router.Connections(now)
-	d.startAll(now)
+	d.startAllServices(now)
 	d.mutex.Unlock()
 	d.settings.Sender.Retain(connections)
 }
 
-// Demand returns the slot demand for the heartbeat to peer to.
+// Demand returns the slot demand to send in the next heartbeat to the given peer.
 func (d *Dispatcher) Demand(to string) []messenger.SlotDemand {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.settings.Router.Demand(to, time.Now())
 }
 
-// Granted takes the grants in the answer of peer from to the heartbeat whose demand was
-// taken at sentAt or later.
+// Granted applies the grants that the given peer returned in the answer to a heartbeat.
+// SentAt is the time at which the heartbeat was sent, after its demand was computed.
 func (d *Dispatcher) Granted(from string, grants []messenger.SlotGrant, sentAt time.Time) {
 	now := time.Now()
 	d.mutex.Lock()
@@ -201,18 +207,19 @@
 	for _, g := range grants {
 		d.settings.Router.Grant(from, g, sentAt, now)
 	}
-	d.startAll(now)
+	d.startAllServices(now)
 }
 
-// Hold sends nothing to this failure domain's instances until the given time: requests
-// that an earlier process of this host left behind may use its slots.
+// Hold stops requests to this failure domain's instances until the given time, because
+// requests of an earlier process of this host may still use the host's slots.
 func (d *Dispatcher) Hold(until time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.settings.Router.Hold(until)
 }
 
-// Free returns the number of free slots by service, for heartbeats to other failure domains.
+// Free returns the number of free slots by service, which heartbeats report to other
+// failure domains.
 func (d *Dispatcher) Free() map[string]int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -21,14 +21,14 @@
 	"peridotpitch/internal/router"
 )
 
-// fakeBackends is a Sender with a script instead of a network.
+// fakeBackends is a Sender that calls a script instead of using the network.
 type fakeBackends struct {
-	mutex   sync.Mutex
-	script  func(ctx context.Context, q forwarder.Request) (result forwarder.Result, ran bool)
-	ran     map[string]int // executions by request
-	written map[string]int // attempts of which a byte was written, by request
-	running map[string]int // by instance
-	most    int
+	mutex      sync.Mutex
+	script     func(ctx context.Context, q forwarder.Request) (result forwarder.Result, ran bool)
+	ran        map[string]int // executions by request
+	written    map[string]int // attempts written at least in part, by request
+	running    map[string]int // by instance
+	maxRunning int            // highest number of attempts running at one instance
 }
 
 func backends(script func(ctx context.Context, q forwarder.Request) (forwarder.Result, bool)) *fakeBackends {
@@ -44,7 +44,7 @@
 	defer cancel()
 	b.mutex.Lock()
 	b.running[q.Instance]++
-	b.most = max(b.most, b.running[q.Instance])
+	b.maxRunning = max(b.maxRunning, b.running[q.Instance])
 	b.mutex.Unlock()
 	result, ran := b.script(ctx, q)
 	b.mutex.Lock()
@@ -59,7 +59,7 @@
 	return result
 }
 
-// records is a Recorder that keeps everything.
+// records is a Recorder that keeps all decisions.
 type records struct {
 	mutex sync.Mutex
 	all   []Decision
@@ -85,7 +85,7 @@
 
 const testSlots = 4
 
-// endpoints returns n instances. With one entry host each has 3 slots in its base share.
+// endpoints returns n instances. With one entry host, the base share is 3 slots of each.
 func endpoints(n int) []messenger.Endpoint {
 	var es []messenger.Endpoint
 	for i := range n {
@@ -119,9 +119,9 @@
 	}
 }
 
-// faulty draws what happens to an attempt from the seed, the request and the attempt, so
-// that the order of goroutines does not matter.
-func faulty(seed uint64) func(context.Context, forwarder.Request) (forwarder.Result, bool) {
+// randomFaults returns a script that derives the result of each attempt from the seed, the
+// request and the attempt, so that it does not depend on the order of goroutines.
+func randomFaults(seed uint64) func(context.Context, forwarder.Request) (forwarder.Result, bool) {
 	return func(ctx context.Context, q forwarder.Request) (forwarder.Result, bool) {
 		var n uint64
 		_, _ = fmt.Sscanf(q.ID, "q%d", &n)
@@ -156,15 +156,15 @@
 	}
 }
 
-// Guards the guarantees 4 to 6 on the whole of the path behind the receiver, with
-// faults at every attempt: own response, "not run" means zero executions, at most one
-// execution of a request that may not be repeated; also the slots of each instance and
-// the final outcome at the deadline.
+// Guards guarantees 4 to 6 from the dispatcher on, with random faults at every attempt: a
+// caller gets the response to its own request, "not run" means zero executions, and a
+// request that is not repeatable runs at most once. Also guards the slot limit of each
+// instance and that every request has its final outcome by its deadline.
 func TestOutcomesUnderFaults(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			b := backends(faulty(seed))
+			b := backends(randomFaults(seed))
 			d, r := dispatcher(t, 3, b, nil)
 			const count = 300
 			outcomes := make([]receiver.Outcome, count)
@@ -175,7 +175,7 @@
 					q := request(fmt.Sprintf("q%d", i), i%2 == 0, 100*time.Millisecond)
 					outcomes[i] = d.Handle(t.Context(), q)
 					if time.Now().After(q.Deadline) {
-						t.Errorf("seed %d: %s ended %v after its deadline", seed, q.ID, time.Since(q.Deadline))
+						t.Errorf("seed %d: request %s ended %v after its deadline", seed, q.ID, time.Since(q.Deadline))
 					}
 				})
 			}
@@ -187,22 +187,22 @@
 					is.Equal(string(o.Body), id)
 				case receiver.NotRun:
 					if b.ran[id] != 0 {
-						t.Errorf("seed %d: %s ran %d times but is not run: %s", seed, id, b.ran[id], o.Reason)
+						t.Errorf("seed %d: request %s ran %d times, but its outcome is not-run: %s", seed, id, b.ran[id], o.Reason)
 					}
 				}
 				if i%2 == 1 && (b.ran[id] > 1 || b.written[id] > 1) {
-					t.Errorf("seed %d: %s ran %d times, was written %d times", seed, id, b.ran[id], b.written[id])
+					t.Errorf("seed %d: request %s is not repeatable, but ran %d times and was written %d times", seed, id, b.ran[id], b.written[id])
 				}
 			}
-			is.True(b.most <= testSlots-1) // the base share of one host
+			is.True(b.maxRunning <= testSlots-1) // the base share of one host
 			is.True(r.count(DecisionRetry, "") > 0)
-			time.Sleep(time.Second) // the slots of abandoned requests end
+			time.Sleep(time.Second) // until the slots of abandoned requests are free
 			is.Equal(d.Free()["quotes"], 3*(testSlots-1))
 		})
 	}
 }
 
-// Guards against retries that multiply the load when every attempt fails.
+// Guards against retries multiplying the load when every attempt fails.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -214,7 +214,7 @@
 		const count = 400
 		for i := range count {
 			d.Handle(t.Context(), request(fmt.Sprint("q", i), true, time.Second))
-			time.Sleep(200 * time.Millisecond) // slots of unknown outcomes end
+			time.Sleep(200 * time.Millisecond) // until the slots of abandoned requests are free
 		}
 		sent := 0
 		for _, n := range b.written {
@@ -225,8 +225,8 @@
 	})
 }
 
-// Guards against a retry at an instance that just failed the same request, and against
-// a lost record of it.
+// Guards against a retry at the instance that has just failed the same request, and
+// against retries that are not recorded.
 func TestRetryGoesToAnotherInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -240,7 +240,7 @@
 			return forwarder.Answered{Status: 200, SlotsUsed: -1}, true
 		})
 		d, r := dispatcher(t, 2, b, nil)
-		for i := range 10 { // earns one retry
+		for i := range 10 { // accumulate the budget for one retry
 			d.Handle(t.Context(), request(fmt.Sprint("q", i), true, time.Second))
 		}
 		fail, instances = true, nil
@@ -252,13 +252,12 @@
 		is.Equal(r.count(DecisionRetry, "again"), 1)
 		_, notRun := d.Handle(t.Context(), request("budget", false, time.Second)).(receiver.NotRun)
 		is.True(notRun)
-		is.Equal(r.count(DecisionRetry, "budget"), 1) // the refused retry is recorded, too
+		is.Equal(r.count(DecisionRetry, "budget"), 1) // a refused retry is recorded, too
 	})
 }
 
-// Guards against a given-up request that waits on in the queue, or that leaves a slot or
-// an admission behind.
-func TestGivenUpWhileWaiting(t *testing.T) {
+// Guards against a canceled request that stays queued or whose slot is never returned.
+func TestCanceledWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		release := make(chan struct{})
@@ -280,7 +279,7 @@
 		synctest.Wait()
 		o, notRun := (<-done).(receiver.NotRun)
 		is.True(notRun)
-		is.True(strings.Contains(o.Reason, "given up"))
+		is.True(strings.Contains(o.Reason, "canceled"))
 		is.Equal(r.count(DecisionRefuse, "gone"), 1)
 		started := time.Now()
 		_, notRun = d.Handle(t.Context(), request("late", false, 50*time.Millisecond)).(receiver.NotRun)
@@ -294,7 +293,7 @@
 	})
 }
 
-// Guards against a slot that is used again while an abandoned request may still run in it.
+// Guards against reuse of a slot while an abandoned request may still run in it.
 func TestAbandonedSlotStaysUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -310,7 +309,7 @@
 	})
 }
 
-// fakeOverflow forwards to a function.
+// fakeOverflow is an Overflow that calls a function.
 type fakeOverflow struct {
 	forward func(m messenger.ForwardRequest) (messenger.ForwardAnswer, bool, error)
 	calls   int
@@ -323,13 +322,13 @@
 	return o.forward(m)
 }
 
-// Guards against a request that is forwarded in circles, or that is called "not run"
-// although another entry host may have run it.
+// Guards against a request that is forwarded more than once, or whose outcome is "not
+// run" although another entry host may have run it.
 func TestForwarding(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		never := backends(func(context.Context, forwarder.Request) (forwarder.Result, bool) {
-			t.Error("there is no instance to send to")
+			t.Error("a request was sent although there is no instance")
 			return forwarder.Unknown{}, true
 		})
 		var answer messenger.ForwardAnswer
@@ -354,16 +353,16 @@
 		_, unknown = handle("c").(receiver.Unknown)
 		is.True(unknown)
 		sent = false
-		_, notRun := handle("d").(receiver.NotRun) // not sent, and no instance here
+		_, notRun := handle("d").(receiver.NotRun) // not sent, and no local instance
 		is.True(notRun)
 		is.Equal(o.calls, 4)
 		a := d.Forwarded(t.Context(), messenger.ForwardRequest{Request: "e", Service: "quotes", Timeout: 50 * time.Millisecond})
 		is.Equal(a.Outcome, OutcomeNotRun)
-		is.Equal(o.calls, 4) // at most one hop
+		is.Equal(o.calls, 4) // not forwarded again
 	})
 }
 
-// Guards against a forwarded message that arrives twice running twice.
+// Guards against a request running twice because its forward message is delivered twice.
 func TestForwardedTwiceRunsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/dispatcher/example_test.go
+++ b/internal/dispatcher/example_test.go
@@ -14,7 +14,7 @@
 	"peridotpitch/internal/router"
 )
 
-// Without an instance a request waits until its deadline and was not run.
+// Without an instance, a request waits until its deadline. Its outcome is "not run".
 func ExampleDispatcher() {
 	sender, closeSender := forwarder.New()
 	defer closeSender()
--- a/internal/dispatcher/forward.go
+++ b/internal/dispatcher/forward.go
@@ -17,8 +17,8 @@
 	OutcomeUnknown  = "unknown"
 )
 
-// Forwarded serves a request that came from an entry host of another failure domain. It
-// is never forwarded again.
+// Forwarded serves a request that an entry host of another failure domain forwarded. It
+// is not forwarded again.
 func (d *Dispatcher) Forwarded(ctx context.Context, m messenger.ForwardRequest) messenger.ForwardAnswer {
 	timeout := min(m.Timeout, configurator.DefaultMaxRequestTimeout)
 	q := receiver.Request{
@@ -30,11 +30,11 @@
 		q.Headers = append(q.Headers, receiver.Header{Name: n, Value: v})
 	}
 	a := messenger.ForwardAnswer{Request: m.Request}
-	if !d.arrives(m.Request, q.Deadline) {
-		a.Outcome, a.Reason = OutcomeUnknown, "a request with this identity was forwarded here before"
+	if !d.registerForward(m.Request, q.Deadline) {
+		a.Outcome, a.Reason = OutcomeUnknown, "a request with this identity was already forwarded to this host"
 		return a
 	}
-	switch o := d.serve(ctx, &task{request: q, hops: 1}).(type) {
+	switch o := d.serve(ctx, &requestState{request: q, hops: 1}).(type) {
 	case receiver.Answered:
 		a.Outcome, a.Status, a.Body = OutcomeAnswered, o.Status, o.Body
 		a.Headers = headerMap(o.Headers)
@@ -46,19 +46,21 @@
 	return a
 }
 
-// arrives notes the identity of a forwarded request. It reports false if it is known.
-func (d *Dispatcher) arrives(id string, deadline time.Time) bool {
+// registerForward records the ID of a forwarded request until the request can no longer
+// be running. It reports false if the ID is already recorded.
+func (d *Dispatcher) registerForward(id string, deadline time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if _, known := d.arrived[id]; known {
+	if _, known := d.receivedForwards[id]; known {
 		return false
 	}
-	d.arrived[id] = deadline.Add(router.AbandonMargin)
+	d.receivedForwards[id] = deadline.Add(router.AbandonMargin)
 	return true
 }
 
-// headerMap joins the values of headers that occur more than once by a comma, which
-// HTTP allows for all but Set-Cookie; of that the last one is kept.
+// headerMap converts headers to a map. Values of repeated headers are joined with commas,
+// which HTTP allows for all headers except Set-Cookie. For Set-Cookie the last value is
+// kept.
 func headerMap(headers []receiver.Header) map[string]string {
 	m := make(map[string]string, len(headers))
 	for _, h := range headers {
--- a/internal/dispatcher/path_test.go
+++ b/internal/dispatcher/path_test.go
@@ -26,8 +26,9 @@
 	"peridotpitch/internal/router"
 )
 
-// path is a whole request path: a receiver's address and the backend servers behind it.
-func path(t *testing.T, instances int, retries configurator.RetryPolicy, backend http.HandlerFunc) string {
+// startPath starts a receiver, a dispatcher, a forwarder and backend servers, and returns
+// the URL of the service at the receiver.
+func startPath(t *testing.T, instances int, retries configurator.RetryPolicy, backend http.HandlerFunc) string {
 	t.Helper()
 	var endpoints []messenger.Endpoint
 	for i := range instances {
@@ -66,7 +67,7 @@
 	return "http://" + l.Addr().String() + "/services/quotes"
 }
 
-// answer is a caller's view of a response.
+// answer holds the parts of a response that the tests compare.
 type answer struct{ outcome, reason, body string }
 
 func post(t *testing.T, url, body string, repeatable bool, timeout string) answer {
@@ -90,7 +91,7 @@
 	return answer{resp.Header.Get("Peridot-Outcome"), resp.Header.Get("Peridot-Reason"), string(got)}
 }
 
-// echo answers as a backend server does, with the request's path and body.
+// echo answers like a backend server, with the request's path and body.
 func echo(w http.ResponseWriter, q *http.Request) {
 	body, _ := io.ReadAll(q.Body)
 	w.Header().Set("Peridot-Request", q.Header.Get("Peridot-Request"))
@@ -98,12 +99,13 @@
 	_, _ = fmt.Fprintf(w, "%s %s", q.URL.Path, body)
 }
 
-// Guards against a break between the parts: requests pass from a caller's connection
-// through all of them to backend servers, and each caller gets its own response.
-func TestWholePath(t *testing.T) {
+// Guards against faults in the interaction of receiver, dispatcher and forwarder: requests
+// over real connections reach the backend servers, and each caller gets the response to
+// its own request.
+func TestRequestPath(t *testing.T) {
 	is := is.New(t)
 	var ran atomic.Int64
-	url := path(t, 3, configurator.RetryBudget, func(w http.ResponseWriter, q *http.Request) {
+	url := startPath(t, 3, configurator.RetryBudget, func(w http.ResponseWriter, q *http.Request) {
 		ran.Add(1)
 		echo(w, q)
 	})
@@ -120,12 +122,12 @@
 	is.Equal(ran.Load(), int64(60))
 }
 
-// Guards the guarantees 4 to 6 over real connections, with backend servers that close,
-// answer late, for another request, in part, or reject.
-func TestWholePathWithFaults(t *testing.T) {
+// Guards guarantees 4 to 6 over real connections, with backend servers that close the
+// connection, answer late, answer another request, truncate the response or reject.
+func TestRequestPathWithFaults(t *testing.T) {
 	var mutex sync.Mutex
 	ran := make(map[string]int)
-	url := path(t, 16, configurator.RetryImmediate3, func(w http.ResponseWriter, q *http.Request) {
+	url := startPath(t, 16, configurator.RetryImmediate3, func(w http.ResponseWriter, q *http.Request) {
 		kind, _ := strconv.Atoi(q.URL.Path[len(q.URL.Path)-1:])
 		attempt, _ := strconv.Atoi(q.Header.Get("Peridot-Attempt"))
 		reject := kind == 4 && attempt == 1
@@ -140,17 +142,17 @@
 			w.Header().Set("Peridot-Request", q.Header.Get("Peridot-Request"))
 			w.Header().Set("Peridot-Attempt", q.Header.Get("Peridot-Attempt"))
 			w.WriteHeader(http.StatusServiceUnavailable)
-		case kind == 0 && attempt == 1: // runs and closes
+		case kind == 0 && attempt == 1: // runs and closes the connection
 			panic(http.ErrAbortHandler)
 		case kind == 1: // the answer to another request
 			q.Header.Set("Peridot-Request", "other")
 			q.URL.Path = "/order/other"
 			echo(w, q)
-		case kind == 2: // a part of the body
+		case kind == 2: // truncated body
 			w.Header().Set("Content-Length", "1000")
 			echo(w, q)
 			panic(http.ErrAbortHandler)
-		case kind == 3: // late: the given-up connection is closed first
+		case kind == 3: // late: after the forwarder has closed the connection
 			_, _ = io.Copy(io.Discard, q.Body)
 			<-q.Context().Done()
 			echo(w, q)
@@ -172,11 +174,11 @@
 			counts[got.outcome]++
 			switch {
 			case got.outcome == "answered" && got.body != order+" coil":
-				t.Errorf("%s got another response: %q", order, got.body)
+				t.Errorf("%s got the response to another request: %q", order, got.body)
 			case got.outcome == "not-run" && ran[order] > 0:
-				t.Errorf("%s is not run but ran %d times", order, ran[order])
+				t.Errorf("%s ran %d times, but its outcome is not-run", order, ran[order])
 			case !repeatable && ran[order] > 1:
-				t.Errorf("%s may not be repeated but ran %d times", order, ran[order])
+				t.Errorf("%s is not repeatable, but ran %d times", order, ran[order])
 			}
 		})
 	}
--- a/internal/dispatcher/record.go
+++ b/internal/dispatcher/record.go
@@ -6,13 +6,13 @@
 	"peridotpitch/internal/router"
 )
 
-// DecisionKind says what was decided about a request.
+// DecisionKind is the kind of a decision about a request.
 type DecisionKind string
 
 // Decision kinds.
 const (
 	DecisionRoute   DecisionKind = "route"   // sent to an instance
-	DecisionRetry   DecisionKind = "retry"   // sent again, or not although it might be
+	DecisionRetry   DecisionKind = "retry"   // sent again, or a failed attempt was not retried
 	DecisionForward DecisionKind = "forward" // sent to another failure domain
 	DecisionRefuse  DecisionKind = "refuse"  // ended without being sent
 )
@@ -24,8 +24,8 @@
 	Request    string
 	Service    string
 	Tenant     string
-	Cause      string // why a decision was due
-	Rule       string // the rule that made it
+	Cause      string // event or state that required the decision
+	Rule       string // rule that determined the result
 	Candidates []router.Candidate
 	Result     string
 }
@@ -35,13 +35,13 @@
 	Record(d Decision)
 }
 
-// record keeps a decision. The recorder writes its log line.
-func (d *Dispatcher) record(t *task, kind DecisionKind, cause, rule, result string, candidates []router.Candidate) {
+// record passes a decision to the recorder, which also logs it.
+func (d *Dispatcher) record(r *requestState, kind DecisionKind, cause, rule, result string, candidates []router.Candidate) {
 	if d.settings.Recorder == nil {
 		return
 	}
 	d.settings.Recorder.Record(Decision{
-		At: time.Now(), Kind: kind, Request: t.request.ID, Service: t.request.Service,
-		Tenant: t.request.Tenant, Cause: cause, Rule: rule, Candidates: candidates, Result: result,
+		At: time.Now(), Kind: kind, Request: r.request.ID, Service: r.request.Service,
+		Tenant: r.request.Tenant, Cause: cause, Rule: rule, Candidates: candidates, Result: result,
 	})
 }
