--- a/internal/router/allocator.go
+++ b/internal/router/allocator.go
@@ -10,113 +10,118 @@
 type Report struct {
 	Host        string
 	Incarnation string
-	// Sequence increases with each heartbeat of an incarnation. With 0 the order of the
-	// reports is unknown: they take effect as wishes, but never as evidence that slots
-	// are free before their grant has expired.
+	// Sequence increases with each heartbeat of an incarnation. If it is 0, the order of
+	// the reports is unknown: their demand takes effect, but they never free slots before
+	// the grant of these slots has expired.
 	Sequence uint64
-	// RunningFor is the age of the host's process; 0 if unknown. A younger process than
-	// the lending time is no evidence about the slots of the one before it.
+	// RunningFor is the age of the host's process; 0 if unknown. If it is shorter than the
+	// reclaim delay, slots of an earlier process of the host may still be in use.
 	RunningFor time.Duration
 	Demand     []messenger.SlotDemand
 }
 
-// Allocator lends the pool slots of one shard's instances. A new owner starts with a
-// new allocator. It lends nothing until everything that an earlier owner lent has ended
-// or, if the membership is settled, every configured host has acknowledged its epoch.
+// Allocator grants slots of the pools of one shard's instances. A new owner of the shard
+// starts with a new allocator. It grants nothing until all grants of an earlier owner have
+// ended or, if the membership is settled, every configured host has acknowledged the new
+// owner's epoch.
 type Allocator struct {
-	epoch     uint64
-	lending   time.Duration
-	started   time.Time
-	settled   bool // the number of hosts is that of an earlier owner, too
-	counts    hostCounts
-	hosts     map[string]bool // every host that an earlier owner may have lent to
-	endpoints []messenger.Endpoint
-	loans     map[string]map[borrower]*loan // by instance
-	sequences map[borrower]uint64
-	heard     map[borrower]time.Time
+	epoch              uint64
+	reclaimDelay       time.Duration
+	startedAt          time.Time
+	settled            bool // earlier owners granted slots for the same number of hosts
+	hostCounts         hostCountHistory
+	hostsToAcknowledge map[string]bool // hosts that an earlier owner may have granted slots
+	endpoints          []messenger.Endpoint
+	allocations        map[string]map[hostProcess]*allocation // by instance
+	lastSequences      map[hostProcess]uint64
+	lastReportAt       map[hostProcess]time.Time
 }
 
-// borrower is one process of an entry host. A restarted host is another borrower,
-// because the requests of its earlier process may still run.
-type borrower struct{ host, incarnation string }
+// hostProcess identifies one process of an entry host. A restarted host is a different
+// hostProcess, because the requests of its earlier process may still run.
+type hostProcess struct{ host, incarnation string }
 
-// loan is what a borrower may still use of an instance's pool.
-type loan struct {
-	parts        []part
-	acknowledged bool // the borrower knows this allocator's epoch
-	wanted       int
-	wantedAt     time.Time
+// allocation is the state of one host process at an instance's pool: the grants under
+// which it may still use slots, and its latest demand.
+type allocation struct {
+	grants       []outstandingGrant
+	acknowledged bool // reported its use under this epoch, and no earlier process of the host can hold slots
+	wantedSlots  int
+	reportedAt   time.Time
 }
 
-type part struct {
-	slots int
-	until time.Time // end of the last request that may use the slots
+// outstandingGrant is a grant whose slots may still be in use.
+type outstandingGrant struct {
+	slots      int
+	inUseUntil time.Time // end of the last request that may use the slots
 }
 
 // NewAllocator returns an allocator for a shard whose owner's epoch began at now.
 func NewAllocator(epoch uint64, maxRequestTimeout time.Duration, now time.Time) *Allocator {
-	lending := lendingTime(maxRequestTimeout)
+	delay := reclaimDelay(maxRequestTimeout)
 	return &Allocator{
-		epoch:     epoch,
-		lending:   lending,
-		started:   now,
-		counts:    hostCounts{delay: ShareDelay(maxRequestTimeout)},
-		loans:     make(map[string]map[borrower]*loan),
-		sequences: make(map[borrower]uint64),
-		heard:     make(map[borrower]time.Time),
-		hosts:     make(map[string]bool),
+		epoch:              epoch,
+		reclaimDelay:       delay,
+		startedAt:          now,
+		hostCounts:         hostCountHistory{window: ShareDelay(maxRequestTimeout)},
+		allocations:        make(map[string]map[hostProcess]*allocation),
+		lastSequences:      make(map[hostProcess]uint64),
+		lastReportAt:       make(map[hostProcess]time.Time),
+		hostsToAcknowledge: make(map[string]bool),
 	}
 }
 
 // Update replaces the shard's instances and the configured entry hosts of the failure
-// domain. Settled has the meaning of Membership.Settled: without it, an earlier owner
-// may have lent by, and hosts may still use, the shares of another number of hosts.
+// domain. Settled has the meaning of Membership.Settled: if it is false, an earlier owner
+// may have granted slots, and hosts may still use base shares, computed for another number
+// of hosts.
 func (a *Allocator) Update(endpoints []messenger.Endpoint, hosts []string, settled bool, now time.Time) {
 	a.settled = a.settled || settled
-	a.counts.set(len(hosts), now)
-	// A host that was removed since may still use what an earlier owner lent it.
-	if now.Sub(a.started) < a.lending {
+	a.hostCounts.record(len(hosts), now)
+	// A host that has been removed since then may still use slots that an earlier owner
+	// granted to it, so hosts are only added.
+	if now.Sub(a.startedAt) < a.reclaimDelay {
 		for _, h := range hosts {
-			a.hosts[h] = true
+			a.hostsToAcknowledge[h] = true
 		}
 	}
 	a.endpoints = endpoints
-	a.forget(now)
+	a.dropExpired(now)
 }
 
-// forget drops loans that have ended and hosts that were silent for so long that
-// nothing of theirs can be in use.
-func (a *Allocator) forget(now time.Time) {
-	for instance, loans := range a.loans {
-		for b, l := range loans {
-			l.expire(now)
-			if len(l.parts) == 0 && now.Sub(a.heard[b]) > a.lending {
-				delete(loans, b)
+// dropExpired removes expired grants, allocations of hosts that have been unresponsive for
+// so long that none of their requests can be running, and old report times.
+func (a *Allocator) dropExpired(now time.Time) {
+	for instance, allocations := range a.allocations {
+		for hp, al := range allocations {
+			al.dropExpired(now)
+			if len(al.grants) == 0 && now.Sub(a.lastReportAt[hp]) > a.reclaimDelay {
+				delete(allocations, hp)
 			}
 		}
-		if len(loans) == 0 {
-			delete(a.loans, instance)
+		if len(allocations) == 0 {
+			delete(a.allocations, instance)
 		}
 	}
-	for b, t := range a.heard {
-		if now.Sub(t) > 2*a.lending {
-			delete(a.heard, b)
-			delete(a.sequences, b)
+	for hp, t := range a.lastReportAt {
+		if now.Sub(t) > 2*a.reclaimDelay {
+			delete(a.lastReportAt, hp)
+			delete(a.lastSequences, hp)
 		}
 	}
 }
 
 // Step takes a host's report and returns its grants, one for each instance of the shard.
-// A grant of no slot tells the host this allocator's epoch.
+// A grant of zero slots informs the host of this allocator's epoch.
 func (a *Allocator) Step(p Report, now time.Time) []messenger.SlotGrant {
-	b := borrower{p.Host, p.Incarnation}
+	hp := hostProcess{p.Host, p.Incarnation}
 	ordered := p.Sequence > 0
-	if ordered && p.Sequence <= a.sequences[b] {
-		return nil // a delayed heartbeat; its answer is no longer awaited
+	if ordered && p.Sequence <= a.lastSequences[hp] {
+		return nil // a delayed heartbeat, overtaken by a later one
 	}
-	a.sequences[b] = p.Sequence
-	a.heard[b] = now
-	a.forget(now)
+	a.lastSequences[hp] = p.Sequence
+	a.lastReportAt[hp] = now
+	a.dropExpired(now)
 	demands := make(map[string]messenger.SlotDemand, len(p.Demand))
 	for _, d := range p.Demand {
 		demands[d.Instance] = d
@@ -124,16 +129,16 @@
 	grants := make([]messenger.SlotGrant, 0, len(a.endpoints))
 	for _, e := range a.endpoints {
 		d, listed := demands[e.Instance]
-		l := a.loan(e.Instance, b)
-		base := a.counts.base(e.Slots, now)
+		al := a.allocation(e.Instance, hp)
+		base := a.hostCounts.minBaseShare(e.Slots, now)
 		if listed && ordered {
-			l.confirm(max(0, d.InUse-base), now.Add(a.lending))
-			l.acknowledged = l.acknowledged || p.RunningFor >= a.lending
+			al.replaceGrants(max(0, d.InUse-base), now.Add(a.reclaimDelay))
+			al.acknowledged = al.acknowledged || p.RunningFor >= a.reclaimDelay
 		}
-		l.wanted, l.wantedAt = max(0, d.Wanted-base), now
+		al.wantedSlots, al.reportedAt = max(0, d.Wanted-base), now
 		slots := 0
 		if listed && !e.Draining {
-			slots = a.lend(e, l, d.Wanted-base, now)
+			slots = a.grantSlots(e, al, d.Wanted-base, now)
 		}
 		grants = append(grants, messenger.SlotGrant{
 			Instance: e.Instance, Slots: slots, For: GrantDuration, Epoch: a.epoch,
@@ -142,113 +147,120 @@
 	return grants
 }
 
-// lend grants as many of the wanted slots as the pool has left, but leaves the other
-// hosts that want slots their equal part.
-func (a *Allocator) lend(e messenger.Endpoint, l *loan, wanted int, now time.Time) int {
-	if wanted <= 0 || !a.mayLend(e.Instance, now) {
+// grantSlots grants as many of the wanted slots as the pool has left. It reserves an equal
+// part of the pool for each other host that wants slots.
+func (a *Allocator) grantSlots(e messenger.Endpoint, al *allocation, wanted int, now time.Time) int {
+	if wanted <= 0 || !a.mayGrant(e.Instance, now) {
 		return 0
 	}
-	wishes := 1
-	for _, other := range a.loans[e.Instance] {
-		if other != l && other.wish(now) > 0 {
-			wishes++
+	claimants := 1
+	for _, other := range a.allocations[e.Instance] {
+		if other != al && other.recentDemand(now) > 0 {
+			claimants++
 		}
 	}
-	pool := a.counts.pool(e.Slots, now)
+	pool := a.hostCounts.minPoolSize(e.Slots, now)
 	reserved := 0
-	for _, other := range a.loans[e.Instance] {
-		if other != l {
-			reserved += max(other.slots(now), min(other.wish(now), pool/wishes))
+	for _, other := range a.allocations[e.Instance] {
+		if other != al {
+			reserved += max(other.maxUsableSlots(now), min(other.recentDemand(now), pool/claimants))
 		}
 	}
 	slots := max(0, min(wanted, pool-reserved))
 	if slots > 0 {
-		l.add(part{slots, now.Add(a.lending)})
+		al.addGrant(outstandingGrant{slots, now.Add(a.reclaimDelay)})
 	}
 	return slots
 }
 
-func (a *Allocator) mayLend(instance string, now time.Time) bool {
-	waited := now.Sub(a.started)
+// mayGrant reports whether grants of an earlier owner can no longer be in use at the
+// instance without this allocator's knowledge.
+func (a *Allocator) mayGrant(instance string, now time.Time) bool {
+	waited := now.Sub(a.startedAt)
 	if !a.settled {
-		return waited >= a.counts.delay
+		return waited >= a.hostCounts.window
 	}
-	if waited >= a.lending {
+	if waited >= a.reclaimDelay {
 		return true
 	}
-	known := make(map[string]bool)
-	for b, l := range a.loans[instance] {
-		if l.acknowledged {
-			known[b.host] = true
+	acknowledged := make(map[string]bool)
+	for hp, al := range a.allocations[instance] {
+		if al.acknowledged {
+			acknowledged[hp.host] = true
 		}
 	}
-	for h := range a.hosts {
-		if !known[h] {
+	for h := range a.hostsToAcknowledge {
+		if !acknowledged[h] {
 			return false
 		}
 	}
-	return len(a.hosts) > 0
+	return len(a.hostsToAcknowledge) > 0
 }
 
-func (a *Allocator) loan(instance string, b borrower) *loan {
-	loans := a.loans[instance]
-	if loans == nil {
-		loans = make(map[borrower]*loan)
-		a.loans[instance] = loans
+// allocation returns the allocation of a host process and creates it if needed.
+func (a *Allocator) allocation(instance string, hp hostProcess) *allocation {
+	allocations := a.allocations[instance]
+	if allocations == nil {
+		allocations = make(map[hostProcess]*allocation)
+		a.allocations[instance] = allocations
 	}
-	l := loans[b]
-	if l == nil {
-		l = &loan{}
-		loans[b] = l
+	al := allocations[hp]
+	if al == nil {
+		al = &allocation{}
+		allocations[hp] = al
 	}
-	return l
+	return al
 }
 
-// slots is the largest number of pool slots that the borrower may use. Grants replace
-// each other at the borrower, so they do not add up.
-func (l *loan) slots(now time.Time) int {
+// maxUsableSlots returns the largest number of pool slots that the host process may use.
+// A host process replaces a grant by the next one, so grants do not add up.
+func (al *allocation) maxUsableSlots(now time.Time) int {
 	most := 0
-	for _, p := range l.parts {
-		if p.until.After(now) {
+	for _, p := range al.grants {
+		if p.inUseUntil.After(now) {
 			most = max(most, p.slots)
 		}
 	}
 	return most
 }
 
-// wish is the number of pool slots in the borrower's latest report, if it is recent.
-func (l *loan) wish(now time.Time) int {
-	if now.Sub(l.wantedAt) > GrantDuration {
+// recentDemand returns the number of pool slots wanted in the latest report, or 0 if the
+// report is older than GrantDuration.
+func (al *allocation) recentDemand(now time.Time) int {
+	if now.Sub(al.reportedAt) > GrantDuration {
 		return 0
 	}
-	return l.wanted
+	return al.wantedSlots
 }
 
-// add notes a grant. Smaller parts that end earlier no longer matter.
-func (l *loan) add(p part) {
-	kept := l.parts[:0]
-	for _, o := range l.parts {
-		if o.slots > p.slots || o.until.After(p.until) {
+// addGrant adds an outstanding grant. It drops grants that are neither larger nor in use
+// for longer, because they no longer affect maxUsableSlots.
+func (al *allocation) addGrant(p outstandingGrant) {
+	kept := al.grants[:0]
+	for _, o := range al.grants {
+		if o.slots > p.slots || o.inUseUntil.After(p.inUseUntil) {
 			kept = append(kept, o)
 		}
 	}
-	l.parts = append(kept, p)
+	al.grants = append(kept, p)
 }
 
-// confirm replaces all earlier grants by what the borrower reported.
-func (l *loan) confirm(slots int, until time.Time) {
-	l.parts = l.parts[:0]
+// replaceGrants replaces all earlier grants by the number of pool slots that the host
+// process reported as in use.
+func (al *allocation) replaceGrants(slots int, until time.Time) {
+	al.grants = al.grants[:0]
 	if slots > 0 {
-		l.parts = append(l.parts, part{slots, until})
+		al.grants = append(al.grants, outstandingGrant{slots, until})
 	}
 }
 
-func (l *loan) expire(now time.Time) {
-	kept := l.parts[:0]
-	for _, p := range l.parts {
-		if p.until.After(now) {
+// dropExpired removes grants whose slots can no longer be in use.
+func (al *allocation) dropExpired(now time.Time) {
+	kept := al.grants[:0]
+	for _, p := range al.grants {
+		if p.inUseUntil.After(now) {
 			kept = append(kept, p)
 		}
 	}
-	l.parts = kept
+	al.grants = kept
 }
--- a/internal/router/choose.go
+++ b/internal/router/choose.go
@@ -11,55 +11,64 @@
 
 // Constants of the adaptive policy.
 const (
-	// choices is the number of instances compared for each request. Each host compares
-	// a different random subset, so that hosts that share a hint do not all follow it:
-	// at most choices/n of the requests can go to one of n instances.
-	choices = 5
-	// assessInterval bounds how often the pool is sorted to find slow instances.
+	// maxComparedInstances bounds the instances compared for each request. Each host
+	// compares a different random subset, so that hosts with the same reported load do not
+	// all choose the same instance: of n instances, none can get more than
+	// maxComparedInstances/n of the requests.
+	maxComparedInstances = 5
+	// assessInterval is the minimum time between two searches for slow instances, each of
+	// which sorts the instances of the service.
 	assessInterval = 50 * time.Millisecond
-	// ejectRatio is the ratio to the typical latency above which an instance counts as
-	// slow, and returnRatio that below which it counts as recovered.
-	ejectRatio  = 4.0
-	returnRatio = 2.0
-	// noise is the ratio to the typical latency up to which instances count as equally
-	// fast. Without it, random differences between estimates outweighed the load.
-	noise = 2.0
-	// failureLimit is the number of not-run outcomes in a row that eject an instance.
-	failureLimit = 3
-	// probeShare bounds probes of slow instances to a part of the requests, so that
-	// they do not show in the p99.
-	probeShare = 0.004
-	// An ejected instance is probed after minProbeInterval, doubled after each probe
-	// up to maxProbeInterval. After maxProbeInterval it is probed even beyond probeShare.
+	// ejectLatencyRatio is the ratio to the typical latency above which an instance counts
+	// as slow and can be ejected.
+	ejectLatencyRatio = 4.0
+	// recoverLatencyRatio is the ratio to the typical latency up to which an ejected
+	// instance counts as recovered.
+	recoverLatencyRatio = 2.0
+	// equalLatencyRatio is the ratio to the typical latency up to which instances count as
+	// equally fast. Without it, random differences between estimates outweighed the load.
+	equalLatencyRatio = 2.0
+	// failuresToEject is the number of consecutive not-run outcomes after which an instance
+	// is ejected.
+	failuresToEject = 3
+	// maxProbeFraction bounds the fraction of requests that probe ejected instances, so
+	// that probes do not affect the p99.
+	maxProbeFraction = 0.004
+	// minProbeInterval is the time until the first probe of an ejected instance. The
+	// interval doubles after each probe.
 	minProbeInterval = 500 * time.Millisecond
+	// maxProbeInterval bounds the interval between probes. After this time an instance is
+	// probed even if that exceeds maxProbeFraction.
 	maxProbeInterval = 8 * time.Second
-	// failureCost multiplies the cost for each recent not-run outcome.
-	failureCost = 2.0
-	// failureMemory is the time in which a not-run outcome loses half of its weight.
-	failureMemory = time.Second
-	// minPenalty is the penalty below which a not-run outcome is forgotten. Otherwise an
+	// costPerFailure is the penalty for each recent not-run outcome, as a multiple of the
+	// cost without failures.
+	costPerFailure = 2.0
+	// failureHalfLife is the time in which the penalty for not-run outcomes halves.
+	failureHalfLife = time.Second
+	// minFailurePenalty is the penalty up to which failures are ignored. Otherwise an
 	// instance that failed once would never be chosen again while all others are idle.
-	minPenalty = 0.1
-	// defaultLatency is assumed before any sample.
+	minFailurePenalty = 0.1
+	// defaultLatency is the typical latency of a service without samples.
 	defaultLatency = 20 * time.Millisecond
 )
 
-// choose picks one of the free instances, of which there is at least one.
-func (r *Router) choose(p *pool, free []*instance, now time.Time) (*instance, string, []Candidate) {
+// choose picks one of the free instances by the routing policy. Free must not be empty. It
+// also returns the rule that made the choice and the candidates that were compared.
+func (r *Router) choose(ss *serviceState, free []*instance, now time.Time) (*instance, string, []Candidate) {
 	switch r.settings.Policy {
 	case configurator.RoutingRoundRobin:
-		return r.chooseNext(p, free)
+		return r.chooseRoundRobin(ss, free)
 	case configurator.RoutingLeastRequests:
-		return r.chooseLeast(free, now)
+		return r.chooseLeastRequests(free, now)
 	default:
-		return r.chooseAdaptive(p, free, now)
+		return r.chooseAdaptive(ss, free, now)
 	}
 }
 
-func (r *Router) chooseNext(p *pool, free []*instance) (*instance, string, []Candidate) {
-	for range p.instances {
-		in := p.instances[p.next%len(p.instances)]
-		p.next = (p.next + 1) % len(p.instances)
+func (r *Router) chooseRoundRobin(ss *serviceState, free []*instance) (*instance, string, []Candidate) {
+	for range ss.instances {
+		in := ss.instances[ss.nextIndex%len(ss.instances)]
+		ss.nextIndex = (ss.nextIndex + 1) % len(ss.instances)
 		if slices.Contains(free, in) {
 			return in, "round-robin", nil
 		}
@@ -67,114 +76,114 @@
 	return free[0], "round-robin", nil
 }
 
-func (r *Router) chooseLeast(free []*instance, now time.Time) (*instance, string, []Candidate) {
-	offset := r.random.IntN(len(free)) // equal loads must not all go to the first name
+func (r *Router) chooseLeastRequests(free []*instance, now time.Time) (*instance, string, []Candidate) {
+	offset := r.random.IntN(len(free)) // random choice among instances with equal load
 	best := free[offset]
 	for i := range free {
 		in := free[(offset+i)%len(free)]
-		if in.used(now) < best.used(now) {
+		if in.usedSlots(now) < best.usedSlots(now) {
 			best = in
 		}
 	}
 	return best, "least requests in flight", nil
 }
 
-func (r *Router) chooseAdaptive(p *pool, free []*instance, now time.Time) (*instance, string, []Candidate) {
-	if in := r.probe(p, free, now); in != nil {
-		c := Candidate{Instance: in.endpoint.Instance, Cost: r.cost(p, in, now)}
+func (r *Router) chooseAdaptive(ss *serviceState, free []*instance, now time.Time) (*instance, string, []Candidate) {
+	if in := r.nextProbe(ss, free, now); in != nil {
+		c := Candidate{Instance: in.endpoint.Instance, Cost: r.cost(ss, in, now)}
 		return in, "probe of an ejected instance", []Candidate{c}
 	}
-	sound := make([]*instance, 0, len(free))
+	healthy := make([]*instance, 0, len(free))
 	for _, in := range free {
 		if !in.ejected {
-			sound = append(sound, in)
+			healthy = append(healthy, in)
 		}
 	}
 	reason := "lowest cost of a random subset"
-	if len(sound) == 0 {
-		sound, reason = free, "lowest cost; only ejected instances are free"
+	if len(healthy) == 0 {
+		healthy, reason = free, "lowest cost; only ejected instances are free"
 	}
-	n := min(choices, len(sound))
+	n := min(maxComparedInstances, len(healthy))
 	candidates := make([]Candidate, 0, n)
 	var best *instance
 	var bestCost float64
 	for i := range n {
-		j := i + r.random.IntN(len(sound)-i)
-		sound[i], sound[j] = sound[j], sound[i]
-		c := r.cost(p, sound[i], now)
-		candidates = append(candidates, Candidate{Instance: sound[i].endpoint.Instance, Cost: c})
+		j := i + r.random.IntN(len(healthy)-i)
+		healthy[i], healthy[j] = healthy[j], healthy[i]
+		c := r.cost(ss, healthy[i], now)
+		candidates = append(candidates, Candidate{Instance: healthy[i].endpoint.Instance, Cost: c})
 		if best == nil || c < bestCost {
-			best, bestCost = sound[i], c
+			best, bestCost = healthy[i], c
 		}
 	}
 	return best, reason, candidates
 }
 
-// cost is the expected latency of a request at the instance, in seconds, weighed by
-// the load that it would meet.
-func (r *Router) cost(p *pool, in *instance, now time.Time) float64 {
-	own := float64(in.used(now))
+// cost returns the expected latency of a request at the instance in seconds, weighted by
+// the load of the instance and its recent failures.
+func (r *Router) cost(ss *serviceState, in *instance, now time.Time) float64 {
+	own := float64(in.usedSlots(now))
 	others := own * float64(r.otherHosts(now))
-	if !in.hint.at.IsZero() {
-		w := halfLife(now.Sub(in.hint.at), hintMemory)
-		others = w*float64(in.hint.others) + (1-w)*others
+	if !in.reportedLoad.reportedAt.IsZero() {
+		w := decayFactor(now.Sub(in.reportedLoad.reportedAt), reportedLoadHalfLife)
+		others = w*float64(in.reportedLoad.slotsUsedByOthers) + (1-w)*others
 	}
 	load := (own + 1 + others) / float64(max(1, in.endpoint.Slots))
-	slowness := max(1, float64(in.estimate(p.typical, now))/float64(p.typical)/noise)
-	cost := p.typical.Seconds() * slowness * (1 + load)
-	if penalty := failureCost * float64(in.failures) * halfLife(now.Sub(in.failedAt), failureMemory); penalty > minPenalty {
+	slowness := max(1, float64(in.expectedLatency(ss.typicalLatency, now))/float64(ss.typicalLatency)/equalLatencyRatio)
+	cost := ss.typicalLatency.Seconds() * slowness * (1 + load)
+	if penalty := costPerFailure * float64(in.consecutiveFailures) * decayFactor(now.Sub(in.lastFailureAt), failureHalfLife); penalty > minFailurePenalty {
 		cost *= 1 + penalty
 	}
 	return cost
 }
 
-// otherHosts is the number of entry hosts that send to the same instances.
+// otherHosts returns the number of other entry hosts that send requests to the instances.
 func (r *Router) otherHosts(now time.Time) int {
-	counts := r.hosts.recent(now)
+	counts := r.hostCounts.recentCounts(now)
 	if len(counts) == 0 {
 		return 0
 	}
 	return max(0, counts[len(counts)-1].hosts-1)
 }
 
-// assess recomputes the typical latency and which instances are ejected: those that are
-// slow or failing, worst first, at most half of the pool.
-func (r *Router) assess(p *pool, now time.Time) {
-	if !p.assessed.IsZero() && now.Sub(p.assessed) < assessInterval {
+// assess recomputes the typical latency and the ejected instances of a service: those that
+// are slow or failing, worst first, at most half of all instances.
+func (r *Router) assess(ss *serviceState, now time.Time) {
+	if !ss.assessedAt.IsZero() && now.Sub(ss.assessedAt) < assessInterval {
 		return
 	}
-	p.assessed = now
-	p.typical = typicalLatency(p, now)
+	ss.assessedAt = now
+	ss.typicalLatency = lowerQuartileLatency(ss, now)
 	type score struct {
 		in    *instance
 		ratio float64
 	}
-	scores := make([]score, 0, len(p.instances))
-	for _, in := range p.instances {
-		ratio := float64(in.estimate(p.typical, now)) / float64(p.typical)
-		if in.failures >= failureLimit {
-			ratio += ejectRatio * float64(in.failures)
+	scores := make([]score, 0, len(ss.instances))
+	for _, in := range ss.instances {
+		ratio := float64(in.expectedLatency(ss.typicalLatency, now)) / float64(ss.typicalLatency)
+		if in.consecutiveFailures >= failuresToEject {
+			ratio += ejectLatencyRatio * float64(in.consecutiveFailures)
 		}
 		scores = append(scores, score{in, ratio})
 	}
 	slices.SortStableFunc(scores, func(a, b score) int { return cmp.Compare(b.ratio, a.ratio) })
 	for i, s := range scores {
-		slow := s.ratio > ejectRatio || s.in.ejected && s.ratio > returnRatio
+		slow := s.ratio > ejectLatencyRatio || s.in.ejected && s.ratio > recoverLatencyRatio
 		eject := slow && i < len(scores)/2
 		if eject && !s.in.ejected {
-			s.in.interval, s.in.probedAt = minProbeInterval, now
+			s.in.probeInterval, s.in.lastProbeAt = minProbeInterval, now
 		}
 		s.in.ejected = eject
 	}
 }
 
-// typicalLatency is the lower quartile of the measured latencies. The median would be
-// that of slow instances when half of the pool is slow.
-func typicalLatency(p *pool, now time.Time) time.Duration {
-	measured := make([]time.Duration, 0, len(p.instances))
-	for _, in := range p.instances {
+// lowerQuartileLatency returns the lower quartile of the instances' latency estimates. The
+// median would be the latency of a slow instance if half of the instances are slow.
+func lowerQuartileLatency(ss *serviceState, now time.Time) time.Duration {
+	measured := make([]time.Duration, 0, len(ss.instances))
+	for _, in := range ss.instances {
 		if !in.sampledAt.IsZero() {
-			measured = append(measured, in.estimate(in.latency, now))
+			measured = append(measured, in.expectedLatency(in.latencyAverage, now))
 		}
 	}
 	if len(measured) == 0 {
@@ -184,39 +193,39 @@
 	return max(measured[(len(measured)-1)/4], time.Microsecond)
 }
 
-// probe returns the ejected instance that is due for a request, or nil.
-func (r *Router) probe(p *pool, free []*instance, now time.Time) *instance {
-	p.probeCredit = min(1, p.probeCredit+probeShare)
+// nextProbe returns the ejected instance that is to get the request as a probe, or nil.
+func (r *Router) nextProbe(ss *serviceState, free []*instance, now time.Time) *instance {
+	ss.probeCredit = min(1, ss.probeCredit+maxProbeFraction)
 	var due *instance
 	for _, in := range free {
-		if !in.ejected || len(in.held) > 0 {
+		if !in.ejected || len(in.inFlight) > 0 {
 			continue
 		}
-		waited := now.Sub(in.probedAt)
-		if waited < in.interval || p.probeCredit < 1 && waited < maxProbeInterval {
+		waited := now.Sub(in.lastProbeAt)
+		if waited < in.probeInterval || ss.probeCredit < 1 && waited < maxProbeInterval {
 			continue
 		}
-		if due == nil || in.probedAt.Before(due.probedAt) {
+		if due == nil || in.lastProbeAt.Before(due.lastProbeAt) {
 			due = in
 		}
 	}
 	if due == nil {
 		return nil
 	}
-	p.probeCredit = 0
-	due.probedAt = now
-	due.interval = min(2*due.interval, maxProbeInterval)
+	ss.probeCredit = 0
+	due.lastProbeAt = now
+	due.probeInterval = min(2*due.probeInterval, maxProbeInterval)
 	return due
 }
 
-// Ejected returns the ejected instances of a service, for status reports.
+// Ejected returns the names of the ejected instances of a service, for status reports.
 func (r *Router) Ejected(service string) []string {
-	p := r.pools[service]
-	if p == nil {
+	ss := r.services[service]
+	if ss == nil {
 		return nil
 	}
 	var names []string
-	for _, in := range p.instances {
+	for _, in := range ss.instances {
 		if in.ejected {
 			names = append(names, in.endpoint.Instance)
 		}
--- a/internal/router/instance.go
+++ b/internal/router/instance.go
@@ -9,141 +9,150 @@
 
 // Constants of the latency estimate.
 const (
-	// latencyGain is the weight of a new sample.
-	latencyGain = 0.2
-	// probeGain is the weight of a sample of an ejected instance. Its samples are rare,
-	// and with latencyGain it took 11 of them to return from 20 times the typical latency.
-	probeGain = 0.5
-	// latencyMemory is the time in which an estimate loses half of its weight
-	// against the pool's typical latency, so that old measurements stop counting.
-	latencyMemory = 20 * time.Second
-	// hintMemory is the time in which the backend server's own count of used slots
-	// loses half of its weight: a few service times at the sizes of section 1.1.
-	hintMemory = 100 * time.Millisecond
-	// heldWeight is the weight of the age of a request in flight. With exponential
-	// service times and weight 1, one request in 20 would eject its instance.
-	heldWeight = 0.5
+	// latencySampleWeight is the weight of a new sample in the moving average.
+	latencySampleWeight = 0.2
+	// probeSampleWeight is the weight of a sample of an ejected instance. Its samples are
+	// rare, and with latencySampleWeight it took 11 of them to return from 20 times the
+	// typical latency.
+	probeSampleWeight = 0.5
+	// latencyHalfLife is the time in which the weight of the moving average halves
+	// relative to the typical latency of the service, so that old samples stop counting.
+	latencyHalfLife = 20 * time.Second
+	// reportedLoadHalfLife is the time in which the weight of a reported number of used
+	// slots halves. It corresponds to a few service times at the sizes of section
+	// 1.1 of the design page.
+	reportedLoadHalfLife = 100 * time.Millisecond
+	// inFlightAgeWeight is the weight of the age of a request in flight in the latency
+	// estimate. With exponential service times and a weight of 1, one request in 20 would
+	// eject its instance.
+	inFlightAgeWeight = 0.5
 )
 
-// instance is what this host knows about one instance.
+// instance is this host's view of one instance.
 type instance struct {
-	endpoint   messenger.Endpoint
-	present    bool
-	held       map[uint64]heldSlot
-	abandoned  []time.Time // ends of the slots of abandoned requests
-	grant      int
-	grantUntil time.Time
-	granter    string
-	epoch      uint64
-	demandedAt map[string]time.Time // by peer
-	wanted     int
-	wantedAt   time.Time
+	endpoint       messenger.Endpoint
+	listed         bool                       // in the latest Update
+	inFlight       map[uint64]inFlightRequest // by ticket
+	abandonedUntil []time.Time                // times until which slots of abandoned requests count as used
+	grantedSlots   int                        // of the pool
+	grantExpiresAt time.Time
+	granter        string               // peer that sent the latest grant
+	granterEpoch   uint64               // highest epoch of a grant
+	lastDemandAt   map[string]time.Time // time of the latest demand to each peer
+	wantedSlots    int                  // highest demand within demandRetention
+	wantedAt       time.Time
 
-	hint      hint
-	latency   time.Duration // moving average
-	sampledAt time.Time     // zero: never
-	failures  int           // not-run outcomes in a row
-	failedAt  time.Time
-	ejected   bool
-	probedAt  time.Time
-	interval  time.Duration // to the next probe
+	reportedLoad        reportedLoad
+	latencyAverage      time.Duration // moving average, see latencySampleWeight
+	sampledAt           time.Time     // zero: never
+	consecutiveFailures int           // not-run outcomes since the last answer
+	lastFailureAt       time.Time
+	ejected             bool
+	lastProbeAt         time.Time
+	probeInterval       time.Duration // from lastProbeAt to the next probe
 }
 
-type heldSlot struct {
-	picked   time.Time
+// inFlightRequest is a request that holds a slot of an instance.
+type inFlightRequest struct {
+	pickedAt time.Time
 	deadline time.Time
 }
 
-// hint is the load by other entry hosts that the backend server reported.
-type hint struct {
-	others int
-	at     time.Time // zero: none
+// reportedLoad is the number of slots used by other entry hosts, derived from the latest
+// number of used slots that the backend server reported.
+type reportedLoad struct {
+	slotsUsedByOthers int
+	reportedAt        time.Time // zero: none
 }
 
 func newInstance() *instance {
-	return &instance{held: make(map[uint64]heldSlot), demandedAt: make(map[string]time.Time)}
+	return &instance{inFlight: make(map[uint64]inFlightRequest), lastDemandAt: make(map[string]time.Time)}
 }
 
-// used counts requests in flight and abandoned requests that may still run.
-func (in *instance) used(now time.Time) int {
-	kept := in.abandoned[:0]
-	for _, t := range in.abandoned {
+// usedSlots returns the number of requests in flight and of abandoned requests that may
+// still run.
+func (in *instance) usedSlots(now time.Time) int {
+	kept := in.abandonedUntil[:0]
+	for _, t := range in.abandonedUntil {
 		if t.After(now) {
 			kept = append(kept, t)
 		}
 	}
-	in.abandoned = kept
-	return len(in.held) + len(kept)
+	in.abandonedUntil = kept
+	return len(in.inFlight) + len(kept)
 }
 
-// noteDemand remembers the time of the latest demand to a peer. Of two demands at the
-// same time neither can be answered, because their answers could not be told apart.
-func (in *instance) noteDemand(to string, now time.Time) {
-	if last := in.demandedAt[to]; !now.After(last) {
+// recordDemand records the time of the latest demand to a peer. If two demands have the
+// same time, no answer to either is accepted, because the answers are indistinguishable.
+func (in *instance) recordDemand(to string, now time.Time) {
+	if last := in.lastDemandAt[to]; !now.After(last) {
 		now = last.Add(time.Nanosecond)
 	}
-	in.demandedAt[to] = now
+	in.lastDemandAt[to] = now
 }
 
-func (in *instance) granted(now time.Time) int {
-	if now.Before(in.grantUntil) {
-		return in.grant
+// currentGrant returns the number of granted pool slots, or 0 if the grant has expired.
+func (in *instance) currentGrant(now time.Time) int {
+	if now.Before(in.grantExpiresAt) {
+		return in.grantedSlots
 	}
 	return 0
 }
 
-func (in *instance) observe(latency time.Duration, now time.Time) {
-	gain := latencyGain
+// addLatencySample adds a sample to the moving average of the latency.
+func (in *instance) addLatencySample(latency time.Duration, now time.Time) {
+	gain := latencySampleWeight
 	switch {
 	case in.sampledAt.IsZero():
 		gain = 1
 	case in.ejected:
-		gain = probeGain
+		gain = probeSampleWeight
 	}
-	in.latency += time.Duration(gain * float64(latency-in.latency))
+	in.latencyAverage += time.Duration(gain * float64(latency-in.latencyAverage))
 	in.sampledAt = now
 }
 
-// estimate is the expected latency of a request. Without recent samples it approaches
-// the typical latency of the pool times the measured slowdown by neighbours. A request
-// in flight for longer than that raises it.
-func (in *instance) estimate(typical time.Duration, now time.Time) time.Duration {
+// expectedLatency returns the expected latency of a request at the instance. Without recent
+// samples it approaches the typical latency of the service times the slowdown measured at
+// the worker. Requests that have been in flight for long raise it.
+func (in *instance) expectedLatency(typical time.Duration, now time.Time) time.Duration {
 	prior := float64(typical)
 	if in.endpoint.Slowdown > 1 {
 		prior *= in.endpoint.Slowdown
 	}
 	e := prior
 	if !in.sampledAt.IsZero() {
-		e += (float64(in.latency) - prior) * halfLife(now.Sub(in.sampledAt), latencyMemory)
+		e += (float64(in.latencyAverage) - prior) * decayFactor(now.Sub(in.sampledAt), latencyHalfLife)
 	}
-	for _, h := range in.held {
-		e = max(e, heldWeight*float64(now.Sub(h.picked)))
+	for _, h := range in.inFlight {
+		e = max(e, inFlightAgeWeight*float64(now.Sub(h.pickedAt)))
 	}
 	return time.Duration(e)
 }
 
-// freeAt is the earliest expected time at which a slot in use becomes free.
+// freeAt returns the earliest expected time at which a slot in use becomes free, or zero
+// if no slot is in use.
 func (in *instance) freeAt(typical time.Duration, now time.Time) time.Time {
-	var first time.Time
-	note := func(t time.Time) {
+	var earliest time.Time
+	consider := func(t time.Time) {
 		if t.Before(now) {
 			t = now
 		}
-		if first.IsZero() || t.Before(first) {
-			first = t
+		if earliest.IsZero() || t.Before(earliest) {
+			earliest = t
 		}
 	}
-	e := in.estimate(typical, now)
-	for _, h := range in.held {
-		note(h.picked.Add(e))
+	e := in.expectedLatency(typical, now)
+	for _, h := range in.inFlight {
+		consider(h.pickedAt.Add(e))
 	}
-	for _, t := range in.abandoned {
-		note(t)
+	for _, t := range in.abandonedUntil {
+		consider(t)
 	}
-	return first
+	return earliest
 }
 
-// halfLife returns 0.5 to the power of age/half.
-func halfLife(age, half time.Duration) float64 {
-	return math.Exp2(-float64(max(0, age)) / float64(half))
+// decayFactor returns 0.5 to the power of age/halfLife.
+func decayFactor(age, halfLife time.Duration) float64 {
+	return math.Exp2(-float64(max(0, age)) / float64(halfLife))
 }
--- a/internal/router/main_test.go
+++ b/internal/router/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of rapid, so that CI gives the same verdict each time. Another
+// TestMain fixes the seed of rapid, so that every run of CI tests the same inputs. Another
 // seed can be given with -rapid.seed.
 func TestMain(m *testing.M) {
 	flag.Parse()
--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -13,50 +13,50 @@
 	"peridotpitch/internal/messenger"
 )
 
-// modelTimeout is MaxRequestTimeout in the model. A short one lets many changes of
+// modelTimeout is MaxRequestTimeout in the model. It is short, so that many changes of the
 // membership take effect within one run.
 const modelTimeout = 2 * time.Second
 
-// model is a failure domain: entry hosts with routers, a shard's owner, and the backend
-// servers' true use of slots and connections.
+// model simulates a failure domain: entry hosts with routers, a shard's owner, and the
+// actual use of slots and connections at the backend servers.
 type model struct {
-	t         *rapid.T
-	now       time.Time
-	random    *rand.Rand
-	endpoints []messenger.Endpoint
-	hosts     map[string]*modelHost
-	names     []string // configured
-	changed   time.Time
-	owner     string
-	epoch     uint64
-	allocator *Allocator
-	allocated int // number of configured hosts that the allocator knows
-	learns    time.Time
-	running   []*modelRequest
-	answers   []modelAnswer
-	requests  int
-	granted   int
+	t               *rapid.T
+	now             time.Time
+	random          *rand.Rand
+	endpoints       []messenger.Endpoint
+	hosts           map[string]*modelHost
+	configuredHosts []string // names
+	changedAt       time.Time
+	owner           string
+	epoch           uint64
+	allocator       *Allocator
+	allocated       int // number of configured hosts that the allocator uses
+	adoptsAt        time.Time
+	running         []*modelRequest
+	answers         []modelAnswer
+	requests        int
+	grantedSlots    int
 }
 
 type modelHost struct {
-	name    string
-	process int
-	router  *Router
-	count   int // configured hosts that it knows
-	learns  time.Time
-	started time.Time
-	reports uint64
+	name        string
+	process     int
+	router      *Router
+	knownHosts  int       // number of configured hosts that it uses
+	adoptsAt    time.Time // time of adopting the configuration
+	started     time.Time
+	reportCount uint64
 }
 
 // modelRequest is a request that runs at a backend server.
 type modelRequest struct {
 	host     *modelHost
 	choice   Instance
-	ends     time.Time // at the latest
+	endsAt   time.Time // at the latest
 	orphaned bool      // its connection is closed
 }
 
-// modelAnswer is an answer to a heartbeat that is on its way.
+// modelAnswer is an answer to a heartbeat that has been sent but not delivered.
 type modelAnswer struct {
 	to     *modelHost
 	from   string
@@ -71,25 +71,26 @@
 	}
 	m.endpoints = []messenger.Endpoint{
 		{Instance: "quotes-0", Service: "quotes", Slots: 8, Connections: 20},
-		{Instance: "quotes-1", Service: "quotes", Slots: 4, Connections: 12}, // at times fewer slots than hosts
+		{Instance: "quotes-1", Service: "quotes", Slots: 4, Connections: 12}, // at times more hosts than slots
 		{Instance: "quotes-2", Service: "quotes", Slots: 8, Connections: 3},  // fewer connections than slots
 	}
-	for i := range modelHosts().Draw(t, "hosts") {
-		m.names = append(m.names, fmt.Sprint("host-", i))
+	for i := range drawHostCount().Draw(t, "hosts") {
+		m.configuredHosts = append(m.configuredHosts, fmt.Sprint("host-", i))
 	}
-	for _, n := range m.names {
+	for _, n := range m.configuredHosts {
 		m.start(n, true)
 	}
-	m.takeOver(m.names[0])
+	m.takeOver(m.configuredHosts[0])
 	return m
 }
 
-// modelHosts draws a number of configured hosts. Small ones leave a pool.
-func modelHosts() *rapid.Generator[int] { return rapid.SampledFrom([]int{2, 3, 4, 1, 8}) }
+// drawHostCount draws a number of configured hosts. With small numbers the instances have
+// a pool.
+func drawHostCount() *rapid.Generator[int] { return rapid.SampledFrom([]int{2, 3, 4, 1, 8}) }
 
-// start starts a host's process. Settled is true before the first change.
+// start starts a host's process. First is true for hosts of the initial configuration.
 func (m *model) start(name string, first bool) {
-	h := &modelHost{name: name, count: len(m.names), started: m.now}
+	h := &modelHost{name: name, knownHosts: len(m.configuredHosts), started: m.now}
 	s := Settings{Policy: configurator.RoutingAdaptive, MaxRequestTimeout: modelTimeout}
 	if old := m.hosts[name]; old != nil {
 		h.process = old.process + 1
@@ -98,23 +99,24 @@
 		s.HoldUntil = m.now.Add(modelTimeout + AbandonMargin)
 	}
 	h.router = New(s, m.random)
-	h.router.Update(m.endpoints, Membership{Hosts: h.count, Settled: first || m.settled()}, m.now)
+	h.router.Update(m.endpoints, Membership{Hosts: h.knownHosts, Settled: first || m.settled()}, m.now)
 	m.hosts[name] = h
 }
 
-// settled reports whether the configuration has been the same for long enough.
+// settled reports whether the configuration has not changed for ShareDelay.
 func (m *model) settled() bool {
-	return m.changed.IsZero() || m.now.Sub(m.changed) >= ShareDelay(modelTimeout)
+	return m.changedAt.IsZero() || m.now.Sub(m.changedAt) >= ShareDelay(modelTimeout)
 }
 
+// takeOver makes a host the owner of the shard, with a new epoch.
 func (m *model) takeOver(name string) {
 	m.owner, m.epoch = name, m.epoch+1
 	m.allocator = NewAllocator(m.epoch, modelTimeout, m.now)
-	m.allocator.Update(m.endpoints, m.names, m.settled(), m.now)
+	m.allocator.Update(m.endpoints, m.configuredHosts, m.settled(), m.now)
 }
 
-// host draws a running host; nil if there is none.
-func (m *model) host() *modelHost {
+// drawHost draws a running host, or returns nil if there is none.
+func (m *model) drawHost() *modelHost {
 	names := sortedKeys(m.hosts)
 	if len(names) == 0 {
 		return nil
@@ -122,48 +124,50 @@
 	return m.hosts[rapid.SampledFrom(names).Draw(m.t, "host")]
 }
 
-// advance lets time pass, with the events of the backend servers and of adoption.
+// advance lets time pass, ends requests and lets hosts adopt the configuration.
 func (m *model) advance(d time.Duration) {
 	until := m.now.Add(d)
 	for {
 		next := until
 		for _, h := range m.hosts {
-			if h.count != len(m.names) && h.learns.Before(next) {
-				next = h.learns
+			if h.knownHosts != len(m.configuredHosts) && h.adoptsAt.Before(next) {
+				next = h.adoptsAt
 			}
 		}
 		m.now = next
-		m.running = slices.DeleteFunc(m.running, func(q *modelRequest) bool { return !q.ends.After(m.now) })
-		m.adopt()
+		m.running = slices.DeleteFunc(m.running, func(q *modelRequest) bool { return !q.endsAt.After(m.now) })
+		m.adoptConfiguration()
 		if !m.now.Before(until) {
 			return
 		}
 	}
 }
 
-func (m *model) adopt() {
+// adoptConfiguration applies the configuration at the hosts whose adoption time has come.
+func (m *model) adoptConfiguration() {
 	for _, name := range sortedKeys(m.hosts) {
 		h := m.hosts[name]
-		if h.count == len(m.names) || h.learns.After(m.now) {
+		if h.knownHosts == len(m.configuredHosts) || h.adoptsAt.After(m.now) {
 			continue
 		}
-		h.count = len(m.names)
-		if !slices.Contains(m.names, name) {
+		h.knownHosts = len(m.configuredHosts)
+		if !slices.Contains(m.configuredHosts, name) {
 			m.kill(h)
 			continue
 		}
-		h.router.Update(m.endpoints, Membership{Hosts: h.count}, m.now)
+		h.router.Update(m.endpoints, Membership{Hosts: h.knownHosts}, m.now)
 		if name == m.owner {
-			m.allocator.Update(m.endpoints, m.names, m.settled(), m.now)
+			m.allocator.Update(m.endpoints, m.configuredHosts, m.settled(), m.now)
 		}
 	}
 }
 
-// kill ends a host's process. Its requests run on, but their connections are closed.
+// kill ends a host's process. Its requests continue to run, but their connections are
+// closed.
 func (m *model) kill(h *modelHost) {
 	delete(m.hosts, h.name)
 	if h.name == m.owner {
-		m.owner = "" // until somebody takes over
+		m.owner = "" // until takeOver
 	}
 	for _, q := range m.running {
 		if q.host == h {
@@ -172,7 +176,8 @@
 	}
 }
 
-func (m *model) pick(h *modelHost) {
+// pickRequests starts requests at a host while it has free slots.
+func (m *model) pickRequests(h *modelHost) {
 	if h == nil {
 		return
 	}
@@ -187,11 +192,12 @@
 			h.router.Want("quotes", 6, m.now)
 			return
 		}
-		m.running = append(m.running, &modelRequest{host: h, choice: c, ends: deadline.Add(AbandonMargin)})
+		m.running = append(m.running, &modelRequest{host: h, choice: c, endsAt: deadline.Add(AbandonMargin)})
 	}
 }
 
-func (m *model) done() {
+// endRequest ends one running request with a random outcome.
+func (m *model) endRequest() {
 	for i, q := range m.running {
 		if q.orphaned || rapid.IntRange(0, 2).Draw(m.t, "skip") == 0 {
 			continue
@@ -199,7 +205,7 @@
 		kind := rapid.SampledFrom([]OutcomeKind{OutcomeAnswered, OutcomeNotRun, OutcomeAbandoned}).Draw(m.t, "outcome")
 		q.host.router.Done(q.choice, Outcome{Kind: kind, Latency: time.Millisecond, SlotsUsed: -1}, m.now)
 		if kind == OutcomeAbandoned {
-			q.orphaned = true // it runs on
+			q.orphaned = true // it continues to run
 		} else {
 			m.running = slices.Delete(m.running, i, i+1)
 		}
@@ -212,10 +218,10 @@
 	if h == nil || m.hosts[m.owner] == nil {
 		return
 	}
-	m.advance(time.Microsecond) // the answers to two demands at the same time are refused
-	h.reports++
+	m.advance(time.Microsecond) // answers to two demands of the same time are ignored
+	h.reportCount++
 	p := Report{
-		Host: h.name, Incarnation: fmt.Sprint(h.process), Sequence: h.reports,
+		Host: h.name, Incarnation: fmt.Sprint(h.process), Sequence: h.reportCount,
 		RunningFor: m.now.Sub(h.started), Demand: h.router.Demand(m.owner, m.now),
 	}
 	if rapid.IntRange(0, 5).Draw(m.t, "lost") == 0 {
@@ -223,12 +229,13 @@
 	}
 	grants := m.allocator.Step(p, m.now)
 	for _, g := range grants {
-		m.granted += g.Slots
+		m.grantedSlots += g.Slots
 	}
 	m.answers = append(m.answers, modelAnswer{h, m.owner, m.now, grants})
 }
 
-func (m *model) answer() {
+// deliverAnswer delivers or loses one outstanding answer.
+func (m *model) deliverAnswer() {
 	if len(m.answers) == 0 {
 		return
 	}
@@ -243,30 +250,31 @@
 	}
 }
 
-// reconfigure adds or removes hosts. Everybody learns of it within ConfigurationDelay.
+// reconfigure adds or removes hosts. Each host adopts the change within ConfigurationDelay.
 func (m *model) reconfigure() {
-	if m.now.Sub(m.changed) < ConfigurationDelay {
-		return // adoption of the last change is still going on
+	if m.now.Sub(m.changedAt) < ConfigurationDelay {
+		return // the last change may not have been adopted everywhere
 	}
-	count := modelHosts().Draw(m.t, "count")
-	m.changed = m.now
+	count := drawHostCount().Draw(m.t, "count")
+	m.changedAt = m.now
 	for _, name := range sortedKeys(m.hosts) {
 		delay := time.Duration(rapid.IntRange(0, int(ConfigurationDelay/time.Millisecond)).Draw(m.t, "learns")) * time.Millisecond
-		m.hosts[name].learns = m.now.Add(delay)
+		m.hosts[name].adoptsAt = m.now.Add(delay)
 	}
-	m.names = nil
+	m.configuredHosts = nil
 	for i := range count {
-		m.names = append(m.names, fmt.Sprint("host-", i))
+		m.configuredHosts = append(m.configuredHosts, fmt.Sprint("host-", i))
 	}
-	for _, n := range m.names {
+	for _, n := range m.configuredHosts {
 		if m.hosts[n] == nil {
 			m.start(n, false)
 		}
 	}
 }
 
-// check compares the backend servers' true use with their slots and connections.
-func (m *model) check() {
+// checkLimits compares the actual use of the backend servers with their slots and
+// connections.
+func (m *model) checkLimits() {
 	for _, e := range m.endpoints {
 		slots, connections := 0, 0
 		for _, q := range m.running {
@@ -279,69 +287,69 @@
 			}
 		}
 		if slots > e.Slots || connections > e.Connections {
-			m.t.Fatalf("%s runs %d requests on %d connections", e.Instance, slots, connections)
+			m.t.Fatalf("%s runs %d requests on %d connections, but has %d slots and %d connections", e.Instance, slots, connections, e.Slots, e.Connections)
 		}
 	}
 }
 
-// Guards against more requests at an instance than it has slots or connections, summed
-// over all entry hosts, through lost and late heartbeats, deaths, restarts, pauses,
-// changes of the owner and of the membership.
-func TestShareHolds(t *testing.T) {
+// Guards against all entry hosts together running more requests at an instance than it has
+// slots or connections. Random sequences of events include lost and late heartbeats,
+// crashes, restarts, pauses and changes of the shard's owner and of the membership.
+func TestSlotsAndConnectionsNeverExceeded(t *testing.T) {
 	requests, granted := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"pick": func(*rapid.T) { m.pick(m.host()) },
-			"pick at all": func(*rapid.T) {
+			"pick": func(*rapid.T) { m.pickRequests(m.drawHost()) },
+			"pick at every host": func(*rapid.T) {
 				for _, name := range sortedKeys(m.hosts) {
-					m.pick(m.hosts[name])
+					m.pickRequests(m.hosts[name])
 				}
 			},
-			"done":      func(*rapid.T) { m.done() },
-			"heartbeat": func(*rapid.T) { m.heartbeat(m.host()) },
+			"done":      func(*rapid.T) { m.endRequest() },
+			"heartbeat": func(*rapid.T) { m.heartbeat(m.drawHost()) },
 			"exchange": func(*rapid.T) {
 				for _, name := range sortedKeys(m.hosts) {
 					m.heartbeat(m.hosts[name])
-					m.answer()
+					m.deliverAnswer()
 				}
 			},
-			"rush": func(*rapid.T) { // one host takes all that it can get
-				h := m.host()
+			"saturate": func(*rapid.T) { // one host takes as many slots as it is granted
+				h := m.drawHost()
 				for range 2 {
 					m.heartbeat(h)
-					m.answer()
+					m.deliverAnswer()
 					m.advance(time.Millisecond)
 				}
-				m.pick(h)
+				m.pickRequests(h)
 			},
-			"answer": func(*rapid.T) { m.answer() },
-			"soon": func(t *rapid.T) {
+			"answer": func(*rapid.T) { m.deliverAnswer() },
+			"short pause": func(t *rapid.T) {
 				m.advance(time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond)
 			},
-			"later": func(t *rapid.T) {
+			"long pause": func(t *rapid.T) {
 				m.advance(time.Duration(rapid.IntRange(1, 14).Draw(t, "s")) * time.Second)
 			},
 			"restart": func(*rapid.T) {
-				if h := m.host(); h != nil && slices.Contains(m.names, h.name) && h.count == len(m.names) {
+				if h := m.drawHost(); h != nil && slices.Contains(m.configuredHosts, h.name) && h.knownHosts == len(m.configuredHosts) {
 					m.kill(h)
-					m.hosts[h.name] = h // for the number of its process
+					m.hosts[h.name] = h // start derives the next process number from it
 					m.start(h.name, false)
 				}
 			},
 			"take over": func(*rapid.T) {
-				if h := m.host(); h != nil && h.count == len(m.names) {
+				if h := m.drawHost(); h != nil && h.knownHosts == len(m.configuredHosts) {
 					m.takeOver(h.name)
 				}
 			},
 			"reconfigure": func(*rapid.T) { m.reconfigure() },
-			"":            func(*rapid.T) { m.check() },
+			"":            func(*rapid.T) { m.checkLimits() },
 		})
 		requests += m.requests
-		granted += m.granted
+		granted += m.grantedSlots
 	})
 	t.Logf("%d requests, %d granted slots", requests, granted)
 	if granted == 0 {
-		t.Error("no slot was ever granted")
+		t.Error("no slot was granted in any run")
 	}
 }
--- a/internal/router/policy_test.go
+++ b/internal/router/policy_test.go
@@ -14,9 +14,9 @@
 	"peridotpitch/internal/messenger"
 )
 
-// pathSimulation is a failure domain in virtual time: entry hosts with own routers, and
-// instances whose speed changes.
-type pathSimulation struct {
+// routingSimulation simulates a failure domain in virtual time: entry hosts, each with its
+// own router, and instances whose speed changes.
+type routingSimulation struct {
 	random    *rand.Rand
 	now       time.Time
 	routers   []*Router
@@ -24,38 +24,38 @@
 	running   map[string]int
 	sent      map[string]int
 	slowness  func(instance int, now time.Time) float64
-	ends      simulatedEnds
+	ends      requestEndHeap
 	latencies []time.Duration
 	waiting   [][]time.Time // arrivals by host
 }
 
-type simulatedEnd struct {
-	at      time.Time
-	host    int
-	choice  Instance
-	arrived time.Time
-	picked  time.Time
+type requestEnd struct {
+	endsAt    time.Time
+	host      int
+	choice    Instance
+	arrivedAt time.Time
+	pickedAt  time.Time
 }
 
-type simulatedEnds []simulatedEnd
+type requestEndHeap []requestEnd
 
-func (h simulatedEnds) Len() int           { return len(h) }
-func (h simulatedEnds) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
-func (h simulatedEnds) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *simulatedEnds) Push(x any)        { *h = append(*h, x.(simulatedEnd)) }
-func (h *simulatedEnds) Pop() any {
+func (h requestEndHeap) Len() int           { return len(h) }
+func (h requestEndHeap) Less(i, j int) bool { return h[i].endsAt.Before(h[j].endsAt) }
+func (h requestEndHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *requestEndHeap) Push(x any)        { *h = append(*h, x.(requestEnd)) }
+func (h *requestEndHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
 }
 
 const (
-	simulatedMean    = 10 * time.Millisecond
-	simulatedTimeout = 2 * time.Second
+	meanServiceTime = 10 * time.Millisecond
+	requestTimeout  = 2 * time.Second
 )
 
-func simulate(policy configurator.RoutingPolicy, hosts, instances int, slowness func(int, time.Time) float64) *pathSimulation {
-	s := &pathSimulation{
+func newRoutingSimulation(policy configurator.RoutingPolicy, hosts, instances int, slowness func(int, time.Time) float64) *routingSimulation {
+	s := &routingSimulation{
 		random: rand.New(rand.NewPCG(3, 3)), now: epoch, slowness: slowness,
 		running: make(map[string]int), sent: make(map[string]int), waiting: make([][]time.Time, hosts),
 	}
@@ -72,9 +72,9 @@
 	return s
 }
 
-// run offers requests at the rate (per second) to random hosts. At a host without a
-// free instance they wait for the next one that ends there.
-func (s *pathSimulation) run(rate float64, lasting time.Duration) {
+// run offers requests at the given rate (per second) to random hosts. At a host without a
+// free instance a request waits until another one of the host ends.
+func (s *routingSimulation) run(rate float64, lasting time.Duration) {
 	until := s.now.Add(lasting)
 	for next := s.now; next.Before(until); next = next.Add(time.Duration(s.random.ExpFloat64() / rate * float64(time.Second))) {
 		s.finish(next)
@@ -86,43 +86,45 @@
 	s.finish(until)
 }
 
-// start sends a request that arrived at the given time, if an instance is free.
-func (s *pathSimulation) start(host int, arrived, now time.Time) bool {
-	c, found := s.routers[host].Pick(Request{Service: "quotes", Deadline: now.Add(simulatedTimeout)}, now).(Instance)
+// start sends a request that arrived at the given time and reports whether an instance was
+// free.
+func (s *routingSimulation) start(host int, arrived, now time.Time) bool {
+	c, found := s.routers[host].Pick(Request{Service: "quotes", Deadline: now.Add(requestTimeout)}, now).(Instance)
 	if !found {
 		return false
 	}
 	s.running[c.Name]++
 	s.sent[c.Name]++
 	i := slices.IndexFunc(s.endpoints, func(e messenger.Endpoint) bool { return e.Instance == c.Name })
-	// An instance with more requests at once is somewhat slower.
+	// The service time grows with the number of requests running at the instance.
 	load := 1 + float64(s.running[c.Name]-1)/8
-	took := s.random.ExpFloat64() * float64(simulatedMean) * load * s.slowness(i, now)
-	heap.Push(&s.ends, simulatedEnd{now.Add(time.Duration(took)), host, c, arrived, now})
+	took := s.random.ExpFloat64() * float64(meanServiceTime) * load * s.slowness(i, now)
+	heap.Push(&s.ends, requestEnd{now.Add(time.Duration(took)), host, c, arrived, now})
 	return true
 }
 
-func (s *pathSimulation) finish(until time.Time) {
-	for len(s.ends) > 0 && !s.ends[0].at.After(until) {
-		e := heap.Pop(&s.ends).(simulatedEnd)
+func (s *routingSimulation) finish(until time.Time) {
+	for len(s.ends) > 0 && !s.ends[0].endsAt.After(until) {
+		e := heap.Pop(&s.ends).(requestEnd)
 		used := s.running[e.choice.Name]
 		s.running[e.choice.Name]--
-		s.latencies = append(s.latencies, e.at.Sub(e.arrived))
-		s.routers[e.host].Done(e.choice, Outcome{Kind: OutcomeAnswered, Latency: e.at.Sub(e.picked), SlotsUsed: used}, e.at)
-		if w := s.waiting[e.host]; len(w) > 0 && s.start(e.host, w[0], e.at) {
+		s.latencies = append(s.latencies, e.endsAt.Sub(e.arrivedAt))
+		s.routers[e.host].Done(e.choice, Outcome{Kind: OutcomeAnswered, Latency: e.endsAt.Sub(e.pickedAt), SlotsUsed: used}, e.endsAt)
+		if w := s.waiting[e.host]; len(w) > 0 && s.start(e.host, w[0], e.endsAt) {
 			s.waiting[e.host] = w[1:]
 		}
 	}
 	s.now = until
 }
 
-func (s *pathSimulation) p99() time.Duration {
+func (s *routingSimulation) p99() time.Duration {
 	sorted := slices.Sorted(slices.Values(s.latencies))
 	return sorted[len(sorted)*99/100]
 }
 
-// Guards the targets for routing: p99 at most 0.7 of the best baseline with slow
-// instances and bursts of noise, and nowhere above 1.05.
+// Guards the targets for the adaptive policy: its p99 is at most 0.7 times the p99 of the
+// best baseline with slow instances and with bursts of noise, and at most 1.05 times in
+// all cases.
 func TestAdaptiveAgainstBaselines(t *testing.T) {
 	none := func(int, time.Time) float64 { return 1 }
 	cases := []struct {
@@ -147,9 +149,9 @@
 	}
 	for _, c := range cases {
 		for _, load := range []float64{0.15, 0.3} {
-			measure := func(p configurator.RoutingPolicy) *pathSimulation {
-				s := simulate(p, 3, 18, c.slowness)
-				s.run(load*18*8/simulatedMean.Seconds(), 6*time.Second)
+			measure := func(p configurator.RoutingPolicy) *routingSimulation {
+				s := newRoutingSimulation(p, 3, 18, c.slowness)
+				s.run(load*18*8/meanServiceTime.Seconds(), 6*time.Second)
 				return s
 			}
 			adaptive, robin, least := measure(configurator.RoutingAdaptive), measure(configurator.RoutingRoundRobin), measure(configurator.RoutingLeastRequests)
@@ -164,17 +166,18 @@
 	}
 }
 
-// Guards against all hosts following the same hint to one idle instance.
-func TestHostsDoNotHerd(t *testing.T) {
+// Guards against all hosts sending their requests to one instance because the reported
+// loads show it as idle.
+func TestHostsDoNotConvergeOnOneInstance(t *testing.T) {
 	is := is.New(t)
-	s := simulate(configurator.RoutingAdaptive, 8, 50, nil)
+	s := newRoutingSimulation(configurator.RoutingAdaptive, 8, 50, nil)
 	for _, r := range s.routers {
 		for i, name := range sortedKeys(r.instances) {
 			used := 7
 			if i == 20 {
 				used = 1
 			}
-			r.instances[name].hint = hint{others: used - 1, at: epoch}
+			r.instances[name].reportedLoad = reportedLoad{slotsUsedByOthers: used - 1, reportedAt: epoch}
 		}
 	}
 	sent := make(map[string]int)
@@ -186,12 +189,12 @@
 		}
 	}
 	is.True(sent["quotes-020"] > 0)
-	is.True(sent["quotes-020"] <= 320/8) // the fair part is 320/50, following the hint would be 320
+	is.True(sent["quotes-020"] <= 320/8) // an equal share is 320/50; without random subsets it would be 320
 }
 
-// Guards against a slow instance that is never tried again, and against more than half
-// of the pool being ejected.
-func TestEjectedInstancesComeBack(t *testing.T) {
+// Guards against an instance that never gets requests again after it was slow, and against
+// the ejection of more than half of the instances.
+func TestEjectedInstancesRecover(t *testing.T) {
 	is := is.New(t)
 	slow := func(i int, now time.Time) float64 {
 		if i < 7 && now.Before(epoch.Add(5*time.Second)) {
@@ -199,7 +202,7 @@
 		}
 		return 1
 	}
-	s := simulate(configurator.RoutingAdaptive, 2, 10, slow)
+	s := newRoutingSimulation(configurator.RoutingAdaptive, 2, 10, slow)
 	s.run(300, 5*time.Second)
 	for _, r := range s.routers {
 		ejected := len(r.Ejected("quotes"))
@@ -209,25 +212,25 @@
 	clear(s.sent)
 	s.run(300, 30*time.Second)
 	for _, e := range s.endpoints {
-		is.True(s.sent[e.Instance] > 300) // the fair part is 900
+		is.True(s.sent[e.Instance] > 300) // an equal share is 900
 	}
 }
 
-// Guards against a dead instance that keeps taking requests because it fails fast.
+// Guards against a failed instance attracting requests because it fails fast.
 func TestFailingInstanceIsEjected(t *testing.T) {
 	is := is.New(t)
-	s := simulate(configurator.RoutingAdaptive, 1, 10, nil)
-	r, now, dead := s.routers[0], epoch, 0
+	s := newRoutingSimulation(configurator.RoutingAdaptive, 1, 10, nil)
+	r, now, failed := s.routers[0], epoch, 0
 	for range 12000 {
 		now = now.Add(5 * time.Millisecond)
 		c := r.Pick(Request{Service: "quotes", Deadline: now.Add(time.Second)}, now).(Instance)
 		if c.Name == "quotes-003" {
-			dead++
+			failed++
 			r.Done(c, Outcome{Kind: OutcomeNotRun, SlotsUsed: -1}, now)
 			continue
 		}
-		r.Done(c, Outcome{Kind: OutcomeAnswered, Latency: simulatedMean, SlotsUsed: -1}, now)
+		r.Done(c, Outcome{Kind: OutcomeAnswered, Latency: meanServiceTime, SlotsUsed: -1}, now)
 	}
-	is.True(dead >= 4)  // it is tried again from time to time
-	is.True(dead <= 24) // the fair part is 1200
+	is.True(failed >= 4)  // it is probed from time to time
+	is.True(failed <= 24) // an equal share is 1200
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -10,30 +10,31 @@
 	"peridotpitch/internal/messenger"
 )
 
-// demandMemory is how long a wish for slots is remembered, so that a grant does not
-// end between two bursts that are closer than a few heartbeats.
-const demandMemory = 2 * time.Second
+// demandRetention is the time for which the highest demand for slots is kept, so that a
+// grant does not end between two bursts that are less than a few heartbeats apart.
+const demandRetention = 2 * time.Second
 
-// Router is one entry host's view of the instances of its failure domain.
+// Router is one entry host's view of the instances of its failure domain and of its share
+// of their slots.
 type Router struct {
-	settings  Settings
-	random    *rand.Rand
-	hosts     hostCounts
-	holdUntil time.Time
-	started   bool
-	instances map[string]*instance
-	pools     map[string]*pool
-	tickets   uint64
+	settings      Settings
+	random        *rand.Rand
+	hostCounts    hostCountHistory
+	holdUntil     time.Time
+	hasMembership bool
+	instances     map[string]*instance
+	services      map[string]*serviceState
+	lastTicket    uint64
 }
 
-// pool is the set of present instances of one service.
-type pool struct {
-	instances   []*instance // sorted by name
-	next        int         // position of RoundRobin
-	waiting     int
-	typical     time.Duration // lower quartile of the latency estimates
-	assessed    time.Time     // when typical and the ejections were computed
-	probeCredit float64
+// serviceState is the state of one service.
+type serviceState struct {
+	instances       []*instance // sorted by name
+	nextIndex       int         // next position of the policy RoundRobin
+	waitingRequests int
+	typicalLatency  time.Duration // lower quartile of the latency estimates
+	assessedAt      time.Time     // when typicalLatency and the ejections were computed
+	probeCredit     float64       // probes allowed by maxProbeFraction, at most 1
 }
 
 // New returns a router without instances. The random source must be seeded by the
@@ -43,20 +44,20 @@
 		s.MaxRequestTimeout = configurator.DefaultMaxRequestTimeout
 	}
 	return &Router{
-		settings:  s,
-		random:    random,
-		hosts:     hostCounts{delay: ShareDelay(s.MaxRequestTimeout)},
-		holdUntil: s.HoldUntil,
-		instances: make(map[string]*instance),
-		pools:     make(map[string]*pool),
+		settings:   s,
+		random:     random,
+		hostCounts: hostCountHistory{window: ShareDelay(s.MaxRequestTimeout)},
+		holdUntil:  s.HoldUntil,
+		instances:  make(map[string]*instance),
+		services:   make(map[string]*serviceState),
 	}
 }
 
 // SetPolicy changes the routing policy from the next Pick on.
 func (r *Router) SetPolicy(p configurator.RoutingPolicy) { r.settings.Policy = p }
 
-// Hold keeps this host's use of all instances at zero until the given time, if that is
-// later than what holds already.
+// Hold keeps this host's share of all instances at zero until the given time, unless it is
+// already kept at zero for longer.
 func (r *Router) Hold(until time.Time) {
 	if until.After(r.holdUntil) {
 		r.holdUntil = until
@@ -67,9 +68,9 @@
 // Update replaces the list of instances and the number of entry hosts that share them.
 // Slots in use at an instance that is no longer listed stay in use until Done.
 func (r *Router) Update(endpoints []messenger.Endpoint, m Membership, now time.Time) {
-	r.updateHosts(m, now)
-	for _, p := range r.pools {
-		p.instances = p.instances[:0]
+	r.updateMembership(m, now)
+	for _, ss := range r.services {
+		ss.instances = ss.instances[:0]
 	}
 	listed := make(map[string]bool, len(endpoints))
 	for _, e := range endpoints {
@@ -83,138 +84,143 @@
 			r.instances[e.Instance] = in
 		}
 		in.endpoint = e
-		in.present = true
-		p := r.pool(e.Service)
-		p.instances = append(p.instances, in)
+		in.listed = true
+		ss := r.serviceState(e.Service)
+		ss.instances = append(ss.instances, in)
 	}
 	for name, in := range r.instances {
 		if listed[name] {
 			continue
 		}
-		in.present = false
-		if in.used(now) == 0 && !now.Before(in.grantUntil) {
+		in.listed = false
+		if in.usedSlots(now) == 0 && !now.Before(in.grantExpiresAt) {
 			delete(r.instances, name)
 		}
 	}
-	for name, p := range r.pools {
-		if len(p.instances) == 0 && p.waiting == 0 {
-			delete(r.pools, name)
+	for name, ss := range r.services {
+		if len(ss.instances) == 0 && ss.waitingRequests == 0 {
+			delete(r.services, name)
 			continue
 		}
-		slices.SortFunc(p.instances, func(a, b *instance) int {
+		slices.SortFunc(ss.instances, func(a, b *instance) int {
 			return cmp.Compare(a.endpoint.Instance, b.endpoint.Instance)
 		})
-		p.assessed = time.Time{}
+		ss.assessedAt = time.Time{}
 	}
 }
 
-func (r *Router) updateHosts(m Membership, now time.Time) {
+// updateMembership records the number of entry hosts. If the first membership is not
+// settled, the share stays zero for ShareDelay.
+func (r *Router) updateMembership(m Membership, now time.Time) {
 	switch {
 	case m.Settled:
-		r.hosts.settle(m.Hosts, now)
+		r.hostCounts.reset(m.Hosts, now)
 		r.holdUntil = r.settings.HoldUntil
-	case !r.started:
-		r.hosts.settle(m.Hosts, now)
-		if t := now.Add(r.hosts.delay); t.After(r.holdUntil) {
+	case !r.hasMembership:
+		r.hostCounts.reset(m.Hosts, now)
+		if t := now.Add(r.hostCounts.window); t.After(r.holdUntil) {
 			r.holdUntil = t
 		}
 	default:
-		r.hosts.set(m.Hosts, now)
+		r.hostCounts.record(m.Hosts, now)
 	}
-	r.started = true
+	r.hasMembership = true
 }
 
-func (r *Router) pool(service string) *pool {
-	p := r.pools[service]
-	if p == nil {
-		p = &pool{}
-		r.pools[service] = p
-	}
-	return p
+// serviceState returns the state of a service and creates it if needed.
+func (r *Router) serviceState(service string) *serviceState {
+	ss := r.services[service]
+	if ss == nil {
+		ss = &serviceState{}
+		r.services[service] = ss
+	}
+	return ss
 }
 
-// Grant takes the answer of granter from to the demand that was taken at sentAt. It
-// ignores an answer to any but the latest demand, and any of an earlier epoch: the
-// granter no longer counts the slots of such a grant.
+// Grant applies a grant that the given peer sent in answer to the demand of time sentAt. It
+// ignores grants in answer to earlier demands and grants of earlier epochs, because their
+// granter no longer counts the granted slots as used.
 func (r *Router) Grant(from string, g messenger.SlotGrant, sentAt, now time.Time) {
 	in := r.instances[g.Instance]
-	if in == nil || g.Epoch < in.epoch || sentAt.Before(in.demandedAt[from]) {
+	if in == nil || g.Epoch < in.granterEpoch || sentAt.Before(in.lastDemandAt[from]) {
 		return
 	}
-	in.epoch, in.granter = g.Epoch, from
+	in.granterEpoch, in.granter = g.Epoch, from
 	until := sentAt.Add(min(g.For, GrantDuration))
 	if !now.Before(until) || g.Slots <= 0 {
-		in.grant, in.grantUntil = 0, time.Time{}
+		in.grantedSlots, in.grantExpiresAt = 0, time.Time{}
 		return
 	}
-	in.grant, in.grantUntil = g.Slots, until
+	in.grantedSlots, in.grantExpiresAt = g.Slots, until
 }
 
-// limit is how many requests this host may run at the instance now.
-func (r *Router) limit(in *instance, now time.Time) int {
+// slotLimit returns the number of slots that this host may use at the instance.
+func (r *Router) slotLimit(in *instance, now time.Time) int {
 	if now.Before(r.holdUntil) {
 		return 0
 	}
-	share := r.hosts.base(in.endpoint.Slots, now) + in.granted(now)
+	share := r.hostCounts.minBaseShare(in.endpoint.Slots, now) + in.currentGrant(now)
 	return min(share, in.endpoint.Slots)
 }
 
-// room is how many more requests this host may send to the instance now.
-func (r *Router) room(in *instance, now time.Time) int {
-	slots := r.limit(in, now) - in.used(now)
-	connections := r.hosts.connections(in.endpoint.Connections, now) - len(in.held)
+// freeSlots returns the number of requests that this host may send to the instance in
+// addition to those in flight, within its shares of slots and connections.
+func (r *Router) freeSlots(in *instance, now time.Time) int {
+	slots := r.slotLimit(in, now) - in.usedSlots(now)
+	connections := r.hostCounts.minConnections(in.endpoint.Connections, now) - len(in.inFlight)
 	return max(0, min(slots, connections))
 }
 
-// Pick chooses an instance and holds one of its slots until Done.
+// Pick chooses an instance and reserves one of its slots until Done is called.
 func (r *Router) Pick(q Request, now time.Time) Choice {
-	p := r.pools[q.Service]
-	if p == nil || len(p.instances) == 0 {
+	ss := r.services[q.Service]
+	if ss == nil || len(ss.instances) == 0 {
 		return None{Reason: "the failure domain has no instance of the service"}
 	}
-	r.assess(p, now)
-	free := make([]*instance, 0, len(p.instances))
-	for _, in := range p.instances {
+	r.assess(ss, now)
+	free := make([]*instance, 0, len(ss.instances))
+	for _, in := range ss.instances {
 		if in.endpoint.Draining || slices.Contains(q.Exclude, in.endpoint.Instance) {
 			continue
 		}
-		if r.room(in, now) > 0 {
+		if r.freeSlots(in, now) > 0 {
 			free = append(free, in)
 		}
 	}
 	if len(free) == 0 {
-		return r.none(p, q, now)
+		return r.noInstance(ss, q, now)
 	}
-	in, reason, candidates := r.choose(p, free, now)
-	r.tickets++
-	in.held[r.tickets] = heldSlot{picked: now, deadline: q.Deadline}
+	in, reason, candidates := r.choose(ss, free, now)
+	r.lastTicket++
+	in.inFlight[r.lastTicket] = inFlightRequest{pickedAt: now, deadline: q.Deadline}
 	return Instance{
 		Name:        in.endpoint.Instance,
 		Address:     in.endpoint.Address,
-		Connections: r.hosts.connections(in.endpoint.Connections, now),
+		Connections: r.hostCounts.minConnections(in.endpoint.Connections, now),
 		Reason:      reason,
 		Candidates:  candidates,
-		Ticket:      r.tickets,
+		Ticket:      r.lastTicket,
 	}
 }
 
-// maxCandidates bounds the candidates listed when none can take the request.
+// maxCandidates bounds the candidates that are reported if no instance has a free slot.
 const maxCandidates = 8
 
-func (r *Router) none(p *pool, q Request, now time.Time) None {
+// noInstance returns the reason why no instance can take the request.
+func (r *Router) noInstance(ss *serviceState, q Request, now time.Time) None {
 	n := None{Reason: "no instance has a free slot in this host's share"}
 	if now.Before(r.holdUntil) {
 		return None{Reason: "this host's share is not in effect yet", FreeAt: r.holdUntil}
 	}
-	for _, in := range p.instances {
+	for _, in := range ss.instances {
 		c := Candidate{Instance: in.endpoint.Instance, Note: "no free slot"}
 		switch {
 		case in.endpoint.Draining:
 			c.Note = "draining"
 		case slices.Contains(q.Exclude, in.endpoint.Instance):
-			c.Note = "tried before"
+			c.Note = "already tried"
 		default:
-			if t := in.freeAt(p.typical, now); !t.IsZero() && (n.FreeAt.IsZero() || t.Before(n.FreeAt)) {
+			if t := in.freeAt(ss.typicalLatency, now); !t.IsZero() && (n.FreeAt.IsZero() || t.Before(n.FreeAt)) {
 				n.FreeAt = t
 			}
 		}
@@ -225,95 +231,97 @@
 	return n
 }
 
-// Done returns the slot of a chosen instance. A second call for the same choice has no
-// effect.
+// Done ends a request at a chosen instance and returns its slot. A second call for the same
+// choice has no effect.
 func (r *Router) Done(c Instance, o Outcome, now time.Time) {
 	in := r.instances[c.Name]
 	if in == nil {
 		return
 	}
-	h, held := in.held[c.Ticket]
+	h, held := in.inFlight[c.Ticket]
 	if !held {
 		return
 	}
-	delete(in.held, c.Ticket)
+	delete(in.inFlight, c.Ticket)
 	switch o.Kind {
 	case OutcomeAnswered:
-		in.observe(o.Latency, now)
-		in.failures = 0
+		in.addLatencySample(o.Latency, now)
+		in.consecutiveFailures = 0
 	case OutcomeNotRun:
-		in.failures++
-		in.failedAt = now
+		in.consecutiveFailures++
+		in.lastFailureAt = now
 	case OutcomeAbandoned:
-		in.abandoned = append(in.abandoned, h.deadline.Add(AbandonMargin))
-		in.observe(now.Sub(h.picked), now)
+		in.abandonedUntil = append(in.abandonedUntil, h.deadline.Add(AbandonMargin))
+		in.addLatencySample(now.Sub(h.pickedAt), now)
 	}
 	if o.SlotsUsed >= 0 && (o.Kind == OutcomeAnswered || o.Kind == OutcomeNotRun) {
-		in.hint = hint{others: max(0, o.SlotsUsed-1-len(in.held)), at: now}
+		in.reportedLoad = reportedLoad{slotsUsedByOthers: max(0, o.SlotsUsed-1-len(in.inFlight)), reportedAt: now}
 	}
-	if !in.present && in.used(now) == 0 {
+	if !in.listed && in.usedSlots(now) == 0 {
 		delete(r.instances, c.Name)
 	}
 }
 
 // Want sets the number of requests that wait for an instance of the service.
 func (r *Router) Want(service string, waiting int, _ time.Time) {
-	if p := r.pools[service]; p != nil {
-		p.waiting = waiting
+	if ss := r.services[service]; ss != nil {
+		ss.waitingRequests = waiting
 	}
 }
 
-// Demand returns what this host uses and wants, for the heartbeat to peer to. It lists
-// only instances whose latest grant, possibly of no slot, came from that peer. InUse
-// includes granted slots that are free, because this host may still use them.
+// Demand returns the slots that this host uses and wants, for a heartbeat to the given
+// peer. It lists only instances whose latest grant, possibly of zero slots, came from that
+// peer. InUse includes granted slots that are free, because this host may still use them.
 func (r *Router) Demand(to string, now time.Time) []messenger.SlotDemand {
 	var demands []messenger.SlotDemand
 	for _, name := range sortedKeys(r.instances) {
 		in := r.instances[name]
-		in.noteDemand(to, now)
+		in.recordDemand(to, now)
 		if in.granter != to {
 			continue
 		}
-		used, base := in.used(now), r.hosts.base(in.endpoint.Slots, now)
+		used, base := in.usedSlots(now), r.hostCounts.minBaseShare(in.endpoint.Slots, now)
 		demands = append(demands, messenger.SlotDemand{
 			Instance: name,
-			InUse:    max(used, base+in.granted(now)),
-			Wanted:   r.wanted(in, used, now),
+			InUse:    max(used, base+in.currentGrant(now)),
+			Wanted:   r.wantedSlots(in, used, now),
 		})
 	}
 	return demands
 }
 
-// wanted is the number of slots this host could use at the instance.
-func (r *Router) wanted(in *instance, used int, now time.Time) int {
-	p := r.pools[in.endpoint.Service]
-	if p == nil || !in.present || in.endpoint.Draining || now.Before(r.holdUntil) {
+// wantedSlots returns the number of slots that this host could use at the instance: the
+// highest number within demandRetention.
+func (r *Router) wantedSlots(in *instance, used int, now time.Time) int {
+	ss := r.services[in.endpoint.Service]
+	if ss == nil || !in.listed || in.endpoint.Draining || now.Before(r.holdUntil) {
 		return 0
 	}
 	wanted := used
-	if used >= r.limit(in, now) {
+	if used >= r.slotLimit(in, now) {
 		wanted++
 	}
-	if n := len(p.instances); n > 0 {
-		wanted += (p.waiting + n - 1) / n
+	if n := len(ss.instances); n > 0 {
+		wanted += (ss.waitingRequests + n - 1) / n
 	}
 	wanted = min(wanted, in.endpoint.Slots)
-	if wanted >= in.wanted || now.Sub(in.wantedAt) > demandMemory {
-		in.wanted, in.wantedAt = wanted, now
+	if wanted >= in.wantedSlots || now.Sub(in.wantedAt) > demandRetention {
+		in.wantedSlots, in.wantedAt = wanted, now
 	}
-	return in.wanted
+	return in.wantedSlots
 }
 
-// Free returns the number of free slots of the service within this host's share.
+// Free returns the number of free slots of the service's instances within this host's
+// share.
 func (r *Router) Free(service string, now time.Time) int {
-	p := r.pools[service]
-	if p == nil {
+	ss := r.services[service]
+	if ss == nil {
 		return 0
 	}
 	free := 0
-	for _, in := range p.instances {
+	for _, in := range ss.instances {
 		if !in.endpoint.Draining {
-			free += r.room(in, now)
+			free += r.freeSlots(in, now)
 		}
 	}
 	return free
@@ -321,25 +329,25 @@
 
 // FreeByService returns the number of free slots of every service.
 func (r *Router) FreeByService(now time.Time) map[string]int {
-	free := make(map[string]int, len(r.pools))
-	for name := range r.pools {
+	free := make(map[string]int, len(r.services))
+	for name := range r.services {
 		free[name] = r.Free(name, now)
 	}
 	return free
 }
 
-// Connections returns this host's share of connections of every present instance.
+// Connections returns this host's share of the connections of every listed instance.
 func (r *Router) Connections(now time.Time) map[string]int {
 	shares := make(map[string]int, len(r.instances))
 	for name, in := range r.instances {
-		if in.present {
-			shares[name] = r.hosts.connections(in.endpoint.Connections, now)
+		if in.listed {
+			shares[name] = r.hostCounts.minConnections(in.endpoint.Connections, now)
 		}
 	}
 	return shares
 }
 
-// sortedKeys makes every walk over a map repeatable.
+// sortedKeys returns the keys of a map in sorted order, so that iteration is deterministic.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
--- a/internal/router/types.go
+++ b/internal/router/types.go
@@ -6,16 +6,16 @@
 	"peridotpitch/internal/configurator"
 )
 
-// Times that bound how long a slot may be in use without this host's knowledge.
+// Durations that bound how long slots may be in use without an entry host's knowledge.
 const (
-	// ConfigurationDelay is the time within which every entry host has adopted an
-	// accepted configuration.
+	// ConfigurationDelay bounds the time in which every entry host adopts an accepted
+	// configuration.
 	ConfigurationDelay = 7 * time.Second
-	// GrantDuration is how long a grant of pool slots lasts.
+	// GrantDuration is the time for which a grant of pool slots is valid.
 	GrantDuration = 3 * time.Second
-	// AbandonMargin is how long after its deadline an abandoned request still counts
-	// as running. It covers the one-way delay of the deadline to the backend server
-	// (1 ms), the drift between two clocks over 30 s and the server's reaction time.
+	// AbandonMargin is the time for which an abandoned request counts as running after
+	// its deadline. It covers the one-way network delay to the backend server (1 ms), the
+	// drift between two clocks over 30 s and the time the server takes to stop the request.
 	// With 500 ms, goodput at twice the capacity fell to half in simulation.
 	AbandonMargin = 100 * time.Millisecond
 )
@@ -24,34 +24,35 @@
 type Settings struct {
 	Policy            configurator.RoutingPolicy
 	MaxRequestTimeout time.Duration
-	// HoldUntil keeps the base share at zero until this time. A host that replaces a
-	// process that died with requests in flight sets it to the start time plus
-	// MaxRequestTimeout, if these requests must not be added to the new process's own.
+	// HoldUntil keeps the base share at zero until this time. A host whose earlier process
+	// died with requests in flight sets it to the start time plus MaxRequestTimeout, so
+	// that these requests and those of the new process together do not exceed the share.
 	HoldUntil time.Time
 }
 
 // Membership is the configured number of entry hosts of the failure domain.
 type Membership struct {
 	Hosts int
-	// Settled states that Hosts has been the configured number everywhere for at least
-	// ShareDelay, or that no other number was ever configured. A router that starts
-	// without it waits for ShareDelay before it uses its base share.
+	// Settled states that Hosts has been the configured number at every entry host for at
+	// least ShareDelay, or that no other number was ever configured. If it is false at the
+	// first Update, the router uses its base share only after ShareDelay.
 	Settled bool
 }
 
-// Request is what the router needs to know about a request.
+// Request holds the attributes of a request that the choice of an instance depends on.
 type Request struct {
 	ID       string
 	Service  string
 	Deadline time.Time
-	Exclude  []string // instances that were already tried
+	Exclude  []string // instances that must not be chosen, because they were already tried
 }
 
-// Candidate is an instance that was compared, with its cost. Lower is better.
+// Candidate is an instance that was considered for a request, with its cost. Lower is
+// better.
 type Candidate struct {
 	Instance string
 	Cost     float64
-	Note     string // why it was passed over; empty if it was eligible
+	Note     string // why it was not eligible; empty if it was
 }
 
 // Choice is the result of Pick: Instance or None.
@@ -77,20 +78,20 @@
 func (Instance) choice() {}
 func (None) choice()     {}
 
-// OutcomeKind says how a request at an instance ended.
+// OutcomeKind is the way in which a request at an instance ended.
 type OutcomeKind string
 
 // Outcome kinds.
 const (
-	OutcomeAnswered  OutcomeKind = "answered"  // complete response; the slot is free
-	OutcomeNotRun    OutcomeKind = "not-run"   // nothing written, or rejected by the instance; the slot is free
-	OutcomeUnused    OutcomeKind = "unused"    // no attempt was made; the slot is free
+	OutcomeAnswered  OutcomeKind = "answered"  // complete response; frees the slot
+	OutcomeNotRun    OutcomeKind = "not-run"   // nothing written, or rejected by the instance; frees the slot
+	OutcomeUnused    OutcomeKind = "unused"    // no attempt was made; frees the slot
 	OutcomeAbandoned OutcomeKind = "abandoned" // may still run; the slot stays used until the deadline plus AbandonMargin
 )
 
-// Outcome reports the end of a request to Done.
+// Outcome describes the end of a request at an instance.
 type Outcome struct {
 	Kind      OutcomeKind
 	Latency   time.Duration
-	SlotsUsed int // the instance's own count of used slots; negative if it sent none
+	SlotsUsed int // number of used slots that the instance reported; negative if it reported none
 }
