--- a/internal/router/choose.go
+++ b/internal/router/choose.go
@@ -77,7 +77,7 @@
 }
 
 func (r *Router) chooseLeastRequests(free []*instance, now time.Time) (*instance, string, []Candidate) {
-	offset := r.random.IntN(len(free)) // random choice among instances with equal load
+	offset := r.random.IntN(len(free)) // so that instances with equal load share the requests
 	best := free[offset]
 	for i := range free {
 		in := free[(offset+i)%len(free)]
--- a/internal/router/instance.go
+++ b/internal/router/instance.go
@@ -101,14 +101,14 @@
 
 // addLatencySample adds a sample to the moving average of the latency.
 func (in *instance) addLatencySample(latency time.Duration, now time.Time) {
-	gain := latencySampleWeight
+	weight := latencySampleWeight
 	switch {
 	case in.sampledAt.IsZero():
-		gain = 1
+		weight = 1
 	case in.ejected:
-		gain = probeSampleWeight
+		weight = probeSampleWeight
 	}
-	in.latencyAverage += time.Duration(gain * float64(latency-in.latencyAverage))
+	in.latencyAverage += time.Duration(weight * float64(latency-in.latencyAverage))
 	in.sampledAt = now
 }
 
@@ -124,8 +124,8 @@
 	if !in.sampledAt.IsZero() {
 		e += (float64(in.latencyAverage) - prior) * decayFactor(now.Sub(in.sampledAt), latencyHalfLife)
 	}
-	for _, h := range in.inFlight {
-		e = max(e, inFlightAgeWeight*float64(now.Sub(h.pickedAt)))
+	for _, q := range in.inFlight {
+		e = max(e, inFlightAgeWeight*float64(now.Sub(q.pickedAt)))
 	}
 	return time.Duration(e)
 }
@@ -143,8 +143,8 @@
 		}
 	}
 	e := in.expectedLatency(typical, now)
-	for _, h := range in.inFlight {
-		consider(h.pickedAt.Add(e))
+	for _, q := range in.inFlight {
+		consider(q.pickedAt.Add(e))
 	}
 	for _, t := range in.abandonedUntil {
 		consider(t)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -238,8 +238,8 @@
 	if in == nil {
 		return
 	}
-	h, held := in.inFlight[c.Ticket]
-	if !held {
+	q, found := in.inFlight[c.Ticket]
+	if !found {
 		return
 	}
 	delete(in.inFlight, c.Ticket)
@@ -251,8 +251,8 @@
 		in.consecutiveFailures++
 		in.lastFailureAt = now
 	case OutcomeAbandoned:
-		in.abandonedUntil = append(in.abandonedUntil, h.deadline.Add(AbandonMargin))
-		in.addLatencySample(now.Sub(h.pickedAt), now)
+		in.abandonedUntil = append(in.abandonedUntil, q.deadline.Add(AbandonMargin))
+		in.addLatencySample(now.Sub(q.pickedAt), now)
 	}
 	if o.SlotsUsed >= 0 && (o.Kind == OutcomeAnswered || o.Kind == OutcomeNotRun) {
 		in.reportedLoad = reportedLoad{slotsUsedByOthers: max(0, o.SlotsUsed-1-len(in.inFlight)), reportedAt: now}
