--- a/internal/keeper/successor.go
+++ b/internal/keeper/successor.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Version identifies what a successor read from a shard's journal. Two equal versions
-// mean that the owner renewed nothing in between.
+// Version identifies the state of a shard's journal that a successor read. If two versions are
+// equal, the owner has not renewed its lease between the two reads.
 type Version struct {
 	Epoch    uint64
 	Renewal  uint64
@@ -11,86 +11,88 @@
 	Sequence uint64
 }
 
-// Successor tells whether this host may promise not to claim a shard, and whether it
-// may claim it.
+// Successor decides whether this host may promise not to claim a shard, and whether it may claim
+// the shard.
 type Successor struct {
-	ttl    time.Duration
-	start  time.Time
-	shards map[string]*candidate
+	ttl          time.Duration
+	processStart time.Time
+	shards       map[string]*shardView
 }
 
-// candidate is a successor's view of one shard.
-type candidate struct {
-	version   Version
-	seen      bool
-	firstSeen time.Time // when version was first read
-	epoch     uint64    // highest epoch read or promised
-	promised  time.Time // end of the last promise
-	claiming  bool      // a claim was sent and its outcome is not known
+// shardView is what a successor has read and promised for one shard.
+type shardView struct {
+	version       Version
+	read          bool
+	firstRead     time.Time // when version was first read
+	highestEpoch  uint64    // highest epoch read or promised to
+	promisedUntil time.Time // end of the last promise
+	claimPending  bool      // a claim was sent and its outcome is unknown
 }
 
-// NewSuccessor returns the rules of a process that started at start. It promises at
-// once, but claims nothing for one TTL: an earlier process of the same host may have
-// given a promise that this one does not know of.
+// NewSuccessor returns the Successor of a process that started at start. It gives promises at once
+// but permits no claim for one TTL, because an earlier process of the same host may have given a
+// promise that is still in effect.
 func NewSuccessor(ttl time.Duration, start time.Time) *Successor {
-	return &Successor{ttl: ttl, start: start, shards: make(map[string]*candidate)}
+	return &Successor{ttl: ttl, processStart: start, shards: make(map[string]*shardView)}
 }
 
-func (s *Successor) shard(name string) *candidate {
-	c, ok := s.shards[name]
+// shard returns the view of a shard and creates it if necessary.
+func (s *Successor) shard(name string) *shardView {
+	v, ok := s.shards[name]
 	if !ok {
-		c = &candidate{}
-		s.shards[name] = c
+		v = &shardView{}
+		s.shards[name] = v
 	}
-	return c
+	return v
 }
 
-// Promise asks for a promise not to claim the shard for one TTL from now and reports
-// whether it is given. It is refused to an owner whose epoch is known to be over, and
-// while an own claim may still take effect. A promise covers the shard, not just the
-// epoch for which it was asked.
+// Promise asks for a promise not to claim the shard for one TTL from now and reports whether it is
+// given. It is refused to an owner whose epoch is lower than one read or promised to, and while a
+// claim by this host may still take effect. A promise holds for the shard in any epoch, not only in
+// the one that is passed.
 func (s *Successor) Promise(shard string, epoch uint64, now time.Time) bool {
 	c := s.shard(shard)
-	if c.claiming || epoch < c.epoch {
+	if c.claimPending || epoch < c.highestEpoch {
 		return false
 	}
-	c.epoch = epoch
-	c.promised = now.Add(s.ttl)
+	c.highestEpoch = epoch
+	c.promisedUntil = now.Add(s.ttl)
 	return true
 }
 
-// Seen records a version of the shard's journal that was received at now.
+// Seen records that version v of the shard's journal was received at now.
 func (s *Successor) Seen(shard string, v Version, now time.Time) {
 	c := s.shard(shard)
-	c.epoch = max(c.epoch, v.Epoch)
-	if c.seen && c.version == v {
+	c.highestEpoch = max(c.highestEpoch, v.Epoch)
+	if c.read && c.version == v {
 		return
 	}
-	c.version, c.seen, c.firstSeen = v, true, now
+	c.version, c.read, c.firstRead = v, true, now
 }
 
-// MayClaim reports whether a claim may be sent at now: the journal has not changed for
-// one TTL since this host first read it, no promise is outstanding, the process has run
-// for one TTL, and no earlier claim is unresolved.
+// MayClaim reports whether a claim may be sent at now. The journal must not have changed for one TTL
+// since this host first read the present version, no promise may be in effect, the process must have
+// run for one TTL, and no earlier claim may be unresolved.
 func (s *Successor) MayClaim(shard string, now time.Time) bool {
 	c := s.shard(shard)
-	return c.seen && !c.claiming &&
-		!now.Before(s.start.Add(s.ttl)) &&
-		!now.Before(c.firstSeen.Add(s.ttl)) &&
-		!now.Before(c.promised)
+	return c.read && !c.claimPending &&
+		!now.Before(s.processStart.Add(s.ttl)) &&
+		!now.Before(c.firstRead.Add(s.ttl)) &&
+		!now.Before(c.promisedUntil)
 }
 
-// MayClaimReleased is MayClaim for a journal that its owner gave up in writing: the
-// wait for the owner's tenure is not needed. Promises still bind, because they may
-// have been given to a later owner.
+// MayClaimReleased is like MayClaim for a journal in which the owner has recorded that it gave up
+// the shard: it does not wait for the owner's lease to end. The process must still have run for one
+// TTL, because an earlier process may have given a promise to a later owner. Promises of this
+// process are not checked.
 func (s *Successor) MayClaimReleased(shard string, now time.Time) bool {
 	c := s.shard(shard)
-	return c.seen && !c.claiming && !now.Before(s.start.Add(s.ttl))
+	return c.read && !c.claimPending && !now.Before(s.processStart.Add(s.ttl))
 }
 
-// Claiming records that a claim is about to be sent. Until Resolved no promise is
-// given, because the claim may take effect at any time.
-func (s *Successor) Claiming(shard string) { s.shard(shard).claiming = true }
+// Claiming records that a claim is about to be sent. No promise is given before Resolved, because
+// the claim may take effect at any time.
+func (s *Successor) Claiming(shard string) { s.shard(shard).claimPending = true }
 
 // Resolved records that the outcome of the claim is known.
-func (s *Successor) Resolved(shard string) { s.shard(shard).claiming = false }
+func (s *Successor) Resolved(shard string) { s.shard(shard).claimPending = false }
--- a/internal/keeper/tenure.go
+++ b/internal/keeper/tenure.go
@@ -3,36 +3,38 @@
 import "time"
 
 const (
-	// driftShare is the part of an interval that two monotonic clocks may drift apart.
-	driftShare = 100
-	// driftFloor covers the granularity of timers and the time between the check of
-	// a tenure and the effect that follows it.
-	driftFloor = 50 * time.Millisecond
+	// clockDriftDivisor gives the drift between two monotonic clocks over an interval, as a
+	// fraction of the interval: 1/100.
+	clockDriftDivisor = 100
+	// fixedMargin covers the granularity of timers and the time between the check of a lease
+	// and the effect of the action that depends on it.
+	fixedMargin = 50 * time.Millisecond
 )
 
-// Margin returns by how much an owner's interval of the given length is shortened:
-// 1% of it plus 50 ms.
-func Margin(ttl time.Duration) time.Duration { return ttl/driftShare + driftFloor }
+// Margin returns the duration by which an owner's lease of the given length is shortened: 1% of the
+// length plus 50 ms.
+func Margin(ttl time.Duration) time.Duration { return ttl/clockDriftDivisor + fixedMargin }
 
-// Tenure tells until when an owner may act on its shard.
+// Tenure is the lease of an owner on its shard. It is extended by renewals in the store, or by
+// promises of all possible successors not to claim the shard.
 type Tenure struct {
-	ttl      time.Duration
-	renewed  time.Time            // just before the last successful renewal was sent
-	promises map[string]time.Time // by possible successor
+	ttl         time.Duration
+	lastRenewal time.Time            // when the last successful renewal was sent
+	promises    map[string]time.Time // by possible successor: when the answered heartbeat was sent
 }
 
-// NewTenure returns the tenure of an owner whose claim was sent at start. A zero start
-// gives a tenure that does not hold before the first renewal or promise. Without
-// successors only the store renews it.
+// NewTenure returns the lease of an owner whose claim was sent at start. If start is the zero time,
+// the lease is not valid before the first renewal or promise. Without successors, only renewals in
+// the store extend it.
 func NewTenure(ttl time.Duration, successors []string, start time.Time) *Tenure {
-	t := &Tenure{ttl: ttl, renewed: start, promises: make(map[string]time.Time)}
+	t := &Tenure{ttl: ttl, lastRenewal: start, promises: make(map[string]time.Time)}
 	t.SetSuccessors(successors)
 	return t
 }
 
-// SetSuccessors replaces the possible successors. Promises of those that stay are
-// kept. The caller must not remove a possible successor before the store holds the
-// shorter list, because that host may claim until then.
+// SetSuccessors replaces the possible successors and keeps the promises of those that remain. The
+// caller must not remove a possible successor before the store holds the shorter list, because that
+// host may claim the shard until then.
 func (t *Tenure) SetSuccessors(successors []string) {
 	kept := make(map[string]time.Time, len(successors))
 	for _, s := range successors {
@@ -43,23 +45,23 @@
 
 // Renewed records a successful renewal in the store that was sent at sentAt.
 func (t *Tenure) Renewed(sentAt time.Time) {
-	if sentAt.After(t.renewed) {
-		t.renewed = sentAt
+	if sentAt.After(t.lastRenewal) {
+		t.lastRenewal = sentAt
 	}
 }
 
-// Promised records the promise of a possible successor in answer to a heartbeat that
-// was sent at sentAt. Promises of other hosts are ignored.
+// Promised records the promise of a possible successor in answer to a heartbeat that was sent at
+// sentAt. Promises of other hosts are ignored.
 func (t *Tenure) Promised(by string, sentAt time.Time) {
 	if last, ok := t.promises[by]; ok && sentAt.After(last) {
 		t.promises[by] = sentAt
 	}
 }
 
-// Until returns the end of the tenure; the zero time if it never held.
+// Until returns the end of the lease, or the zero time if it was never valid.
 func (t *Tenure) Until() time.Time {
-	from := t.renewed
-	if p := t.promisedSince(); p.After(from) {
+	from := t.lastRenewal
+	if p := t.earliestPromise(); p.After(from) {
 		from = p
 	}
 	if from.IsZero() {
@@ -68,17 +70,17 @@
 	return from.Add(t.ttl - Margin(t.ttl))
 }
 
-// promisedSince returns the earliest of the last promises of all possible successors,
-// or the zero time if one is missing.
-func (t *Tenure) promisedSince() time.Time {
-	var since time.Time
+// earliestPromise returns the earliest of the last promises of all possible successors, or the zero
+// time if one of them has not promised.
+func (t *Tenure) earliestPromise() time.Time {
+	var earliest time.Time
 	first := true
 	for _, p := range t.promises {
-		if first || p.Before(since) {
-			since, first = p, false
+		if first || p.Before(earliest) {
+			earliest, first = p, false
 		}
 	}
-	return since
+	return earliest
 }
 
 // Holds reports whether the owner may act at now.
