--- a/internal/placer/mitigation.go
+++ b/internal/placer/mitigation.go
@@ -13,8 +13,8 @@
 	maxActionsPerHour = 6
 	// minThrottleLimit is the lowest limit of a throttle, as a share of declared cores.
 	minThrottleLimit = 0.25
-	// minNeighbourSlowdown is the estimated slowdown of the service below which a neighbour is
-	// left alone.
+	// minNeighbourSlowdown is the estimated excess slowdown that a neighbour must add to the
+	// service to be acted upon.
 	minNeighbourSlowdown = 0.02
 	// targetExcessShare is the share of the permitted excess slowdown (SlowdownBound - 1) to
 	// which a throttle should bring the service.
@@ -38,12 +38,14 @@
 	// minExplainedShare is the share of a service's excess slowdown that the estimate must
 	// attribute to its neighbours for an action to make sense.
 	minExplainedShare = 0.3
-	// ineffectiveActions is the number of actions on a worker after which mitigation checks
-	// whether they had an effect. If more than ineffectiveExcessShare of the excess slowdown
-	// remains, it pauses until mitigationWindow has passed since the window began.
-	ineffectiveActions     = 5
+	// maxIneffectiveActions is the number of actions on a worker in one mitigationWindow after which
+	// mitigation pauses until the end of the window if the actions had too little effect.
+	maxIneffectiveActions = 5
+	// ineffectiveExcessShare is the share of the initial excess slowdown above which the remaining
+	// excess means that the actions had too little effect.
 	ineffectiveExcessShare = 0.8
-	mitigationWindow       = 5 * time.Minute
+	// mitigationWindow is the time over which the actions on a worker are counted.
+	mitigationWindow = 5 * time.Minute
 	// maxMitigatedTasks bounds the tables of tasks.
 	maxMitigatedTasks = 4096
 )
@@ -314,7 +316,7 @@
 	if now.Sub(attempt.started) > mitigationWindow {
 		attempt = mitigationAttempt{started: now, initialSlowdown: service.Slowdown}
 	}
-	if attempt.actions >= ineffectiveActions && service.Slowdown-1 > ineffectiveExcessShare*(attempt.initialSlowdown-1) {
+	if attempt.actions >= maxIneffectiveActions && service.Slowdown-1 > ineffectiveExcessShare*(attempt.initialSlowdown-1) {
 		return false
 	}
 	p.mitigation.attempts[w.Name] = attempt
--- a/internal/placer/mitigation_test.go
+++ b/internal/placer/mitigation_test.go
@@ -127,7 +127,7 @@
 		f.apply(out, now.Add(time.Second))
 		actions += len(out)
 	}
-	is.True(actions <= 2*ineffectiveActions) // 10 minutes are two mitigation windows
+	is.True(actions <= 2*maxIneffectiveActions) // 10 minutes are two mitigation windows
 	mean, _ := p.InterferenceCoefficient("quotes", "quiet", now)
 	is.True(mean < 8)
 }
--- a/internal/placer/model_test.go
+++ b/internal/placer/model_test.go
@@ -103,7 +103,7 @@
 		for _, v := range d.Victims {
 			i := slices.IndexFunc(w.Residents, func(r Resident) bool { return r.Name == v })
 			if i < 0 || w.Residents[i].Kind != KindBatch || w.Residents[i].Urgent || w.Residents[i].Stopping {
-				m.t.Fatalf("%s was preempted for %s, but is not a running batch task without urgency on the worker", v, t.Name)
+				m.t.Fatalf("%s was preempted for %s, but is not a running batch task of normal urgency", v, t.Name)
 			}
 			w.Residents[i].Stopping, w.Residents[i].LastAction = true, m.now
 		}
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -12,11 +12,11 @@
 const (
 	// MaxCandidates bounds the candidates listed in a decision.
 	MaxCandidates = 5
-	// minSlowdownBound and maxSlowdownBound limit Policy.SlowdownBound when it is derived from
-	// the measures: it rises with the weight of throughput against latency. In the
-	// evaluator a bound of 1.3 throttles a third of all batch work for little gain in latency,
+	// minSlowdownBound is the SlowdownBound derived from measures without weight of throughput. In
+	// the evaluator a bound of 1.3 throttles a third of all batch work for little gain in latency,
 	// and a bound of 2 lowers p99 under noisy bursts only to 0.8 of the best baseline's.
 	minSlowdownBound = 1.5
+	// maxSlowdownBound is the SlowdownBound derived from measures without weight of latency.
 	maxSlowdownBound = 2.5
 	// maxReportAge is the age of the last report above which a worker gets no new work: a worker
 	// that is unresponsive for this long is more likely lost than slow.
--- a/internal/placer/search.go
+++ b/internal/placer/search.go
@@ -30,13 +30,14 @@
 	rejectHeadroom:   "kept free for urgent tasks",
 }
 
-// Terms of the score, which is in units of slowdown.
+// Terms of the score, which is in units of slowdown. The costs per member of the task's spread group
+// exceed the usual interference, so that spreading takes precedence.
 const (
-	// sameWorkerCost, sameRackCost and sameDomainCost are added per member of the task's spread
-	// group on the same worker, in the same rack and in the same failure domain. They exceed
-	// the usual interference, so spreading takes precedence.
+	// sameWorkerCost is added per member of the spread group on the same worker.
 	sameWorkerCost = 16
-	sameRackCost   = 4
+	// sameRackCost is added per member of the spread group in the same rack.
+	sameRackCost = 4
+	// sameDomainCost is added per member of the spread group in the same failure domain.
 	sameDomainCost = 1
 	// balanceWeight is the weight of the free share of cores. Among workers with equal interference
 	// it makes the one with fewer free cores preferable for batch tasks and the one with more for
