--- a/internal/orchestrator/action.go
+++ b/internal/orchestrator/action.go
@@ -2,8 +2,7 @@
 
 import "time"
 
-// Action is something that the caller of Step must do. The types of this file
-// implement it.
+// Action is an instruction to the caller of Step. The types of this file implement it.
 type Action interface{ action() }
 
 // StartRun starts a run. The answer comes back as StartAnswered.
@@ -13,8 +12,8 @@
 	Run      int
 	Spec     string
 	Deadline time.Duration // on the worker's clock
-	Saved    string
-	Ticket   string
+	Saved    string        // checkpoint to start from; empty: none
+	Ticket   string        // of the outside policy; empty: none
 }
 
 // StopRun stops a run. The answer comes back as StopAnswered.
@@ -24,8 +23,8 @@
 	Run    int
 }
 
-// PaceRun sets the share of its speed that a run may use. The answer comes back as
-// PaceAnswered.
+// PaceRun sets the speed limit of a run, in percent of its full speed. The answer comes back
+// as PaceAnswered.
 type PaceRun struct {
 	Worker  string
 	Task    string
@@ -33,28 +32,28 @@
 	Percent int
 }
 
-// WatchWorker starts to look at a worker, or changes its address.
+// WatchWorker starts polling a worker, or changes its address.
 type WatchWorker struct{ Worker WorkerEntry }
 
-// ForgetWorker ends the looks at a worker.
+// ForgetWorker ends the polling of a worker.
 type ForgetWorker struct{ ID string }
 
-// AskAdvice asks the outside policy which of the workers may run a step. The answer
-// comes back as Advised.
+// AskAdvice asks the outside policy which of the workers may run a step. The answer comes
+// back as Advised.
 type AskAdvice struct {
 	Step    string
 	Workers []string
 }
 
-// WriteSoon says that NextBatch has something that callers wait for.
+// WriteSoon requests a write of NextBatch without delay, because callers wait for it.
 type WriteSoon struct{}
 
-// StepDown says that a newer leader exists.
+// StepDown ends the leadership, because a later leader exists.
 type StepDown struct{ Reason string }
 
-// Note is a decision for the log and for explain.
+// Note is a decision or an observation, for the log and the explain command.
 type Note struct {
-	Event   string // a name from Events
+	Event   string // one of Events
 	Job     string
 	Queue   string // of a finished job
 	Task    string
@@ -62,8 +61,8 @@
 	Worker  string
 	Outcome string
 	Reason  string
-	Age     time.Duration // of the figures that decided
-	Figures string        // the figures, as key=value pairs
+	Age     time.Duration // of the figures on which the decision is based, or of the run or job
+	Figures string        // these figures, as key=value pairs
 }
 
 func (StartRun) action()     {}
--- a/internal/orchestrator/advice.go
+++ b/internal/orchestrator/advice.go
@@ -7,35 +7,38 @@
 )
 
 const (
-	// adviceLimit is how many workers one question to the outside policy names. Each
-	// costs time there, and about as many suffice for a step.
-	adviceLimit = 30
-	// adviceMargin is subtracted from the validity of tickets, for the way to the worker.
-	adviceMargin = 300 * time.Millisecond
-	// adviceRetry is the pause after a question that got no answer.
-	adviceRetry = 300 * time.Millisecond
+	// maxAdviceWorkers bounds the workers in one request to the outside policy. Each takes time
+	// there, and about as many suffice for a step.
+	maxAdviceWorkers = 30
+	// ticketValidityMargin is subtracted from the validity of tickets, because the start takes
+	// time to reach the worker.
+	ticketValidityMargin = 300 * time.Millisecond
+	// adviceRetryInterval is the pause after a request without an answer.
+	adviceRetryInterval = 300 * time.Millisecond
 )
 
-// advice is what the outside policy has said of a step.
+// advice is the state of the outside policy's answers on a step.
 type advice struct {
-	asking  bool
-	askedAt time.Time
-	retryAt time.Time
-	asked   map[string]bool   // workers whose answer is known
-	tickets map[string]string // workers that are allowed
-	until   time.Time         // end of the tickets' validity
-	allowed map[string]bool   // workers that were allowed before; the answer does not change
+	pending       bool // a request is sent and not answered
+	askedAt       time.Time
+	retryAt       time.Time
+	answered      map[string]bool   // workers on which the policy has answered, by ID
+	tickets       map[string]string // valid tickets, by the ID of the allowed worker
+	ticketsEnd    time.Time         // when the tickets become invalid; zero: there are none
+	allowedBefore map[string]bool   // workers that were allowed at any time, by ID; the answer on a worker does not change
 }
 
+// adviceName returns the step's name in requests to the outside policy.
 func (s *step) adviceName() string {
 	return fmt.Sprintf("%s.%d.%d", s.occurrence.job.ID, s.occurrence.number, s.index)
 }
 
-// advisedWorkers returns the workers with a valid ticket, and asks for more.
+// advisedWorkers returns the workers with a valid ticket, and requests tickets if there are
+// none. The text is why the step waits if there are none.
 func (o *Orchestrator) advisedWorkers(s *step, ws []*worker) ([]*worker, string) {
 	a := &s.advice
-	if !a.until.IsZero() && o.now.After(a.until) {
-		a.tickets, a.until = nil, time.Time{}
+	if !a.ticketsEnd.IsZero() && o.now.After(a.ticketsEnd) {
+		a.tickets, a.ticketsEnd = nil, time.Time{}
 	}
 	var usable []*worker
 	for _, w := range ws {
@@ -43,21 +46,21 @@
 			usable = append(usable, w)
 		}
 	}
-	if len(usable) == 0 && !a.asking && o.now.After(a.retryAt) {
+	if len(usable) == 0 && !a.pending && o.now.After(a.retryAt) {
 		o.askAdvice(s, ws)
 	}
-	return usable, "the outside policy has allowed no worker yet"
+	return usable, "no worker has a valid ticket of the outside policy yet"
 }
 
-// askAdvice asks about workers with room: those that were allowed before first, then
-// those whose answer is not known.
+// askAdvice asks the outside policy for tickets of workers with enough free capacity: first
+// those that were allowed before, then those on which it has not answered.
 func (o *Orchestrator) askAdvice(s *step, ws []*worker) {
 	a := &s.advice
 	var names []string
 	for _, again := range []bool{true, false} {
 		for _, w := range ws {
-			fits := w.free().covers(s.sizeOn())
-			if len(names) < adviceLimit && fits && a.allowed[w.ID] == again && (again || !a.asked[w.ID]) {
+			fits := w.free().covers(s.countedSize())
+			if len(names) < maxAdviceWorkers && fits && a.allowedBefore[w.ID] == again && (again || !a.answered[w.ID]) {
 				names = append(names, w.ID)
 			}
 		}
@@ -65,36 +68,37 @@
 	if len(names) == 0 {
 		return
 	}
-	a.asking, a.askedAt = true, o.now
-	o.do(AskAdvice{Step: s.adviceName(), Workers: names})
+	a.pending, a.askedAt = true, o.now
+	o.emit(AskAdvice{Step: s.adviceName(), Workers: names})
 }
 
+// advised applies an answer of the outside policy.
 func (o *Orchestrator) advised(e Advised) {
-	t := o.find(e.Step + ".0")
+	t := o.findTask(e.Step + ".0")
 	if t == nil {
 		return
 	}
 	a := &t.step.advice
-	a.asking = false
+	a.pending = false
 	o.passDue = true
 	if e.Failed {
-		a.retryAt = o.now.Add(adviceRetry)
+		a.retryAt = o.now.Add(adviceRetryInterval)
 		return
 	}
-	if a.asked == nil {
-		a.asked, a.allowed = make(map[string]bool), make(map[string]bool)
+	if a.answered == nil {
+		a.answered, a.allowedBefore = make(map[string]bool), make(map[string]bool)
 	}
 	if a.tickets == nil {
 		a.tickets = make(map[string]string)
 	}
 	for _, id := range e.Asked {
-		a.asked[id] = true
+		a.answered[id] = true
 	}
 	for id, ticket := range e.Tickets {
 		if slices.Contains(e.Asked, id) {
-			a.tickets[id], a.allowed[id] = ticket, true
+			a.tickets[id], a.allowedBefore[id] = ticket, true
 		}
 	}
-	a.until = a.askedAt.Add(e.Valid - adviceMargin)
-	o.do(Note{Event: EventAdvice, Job: t.job().ID, Task: e.Step, Outcome: fmt.Sprintf("%d of %d workers allowed", len(e.Tickets), len(e.Asked)), Age: o.now.Sub(a.askedAt)})
+	a.ticketsEnd = a.askedAt.Add(e.Valid - ticketValidityMargin)
+	o.emit(Note{Event: EventAdvice, Job: t.job().ID, Task: e.Step, Outcome: fmt.Sprintf("%d of %d workers allowed", len(e.Tickets), len(e.Asked)), Age: o.now.Sub(a.askedAt)})
 }
--- a/internal/orchestrator/bench_test.go
+++ b/internal/orchestrator/bench_test.go
@@ -8,9 +8,9 @@
 	"peridotpitch/internal/orchestrator"
 )
 
-// BenchmarkPass measures one scheduling pass over a long queue: 800 steps that wait and
+// BenchmarkPassOverLongQueue measures one scheduling pass over a long queue: 800 steps that wait and
 // find no room, on 490 workers with tasks of five images with a latency target.
-func BenchmarkPass(b *testing.B) {
+func BenchmarkPassOverLongQueue(b *testing.B) {
 	w := newWorld(b, 1)
 	for i := range 490 {
 		w.addWorker(fmt.Sprintf("w%03d", i), cores(16, 64), "r0")
@@ -18,12 +18,12 @@
 	w.elect(false)
 	w.run(2 * time.Second)
 	for i := range 350 {
-		w.submit(serving(fmt.Sprintf("s%d", i), fmt.Sprintf("image%d", i%5), 6, cores(3, 6)))
+		w.submit(latencyCriticalJob(fmt.Sprintf("s%d", i), fmt.Sprintf("image%d", i%5), 6, cores(3, 6)))
 	}
 	w.run(2 * time.Second)
-	w.took = func(string, *fakeWorker) time.Duration { return time.Hour }
+	w.runTime = func(string, *fakeWorker) time.Duration { return time.Hour }
 	for i := range 800 {
-		w.submit(filler(fmt.Sprintf("b%d", i), fmt.Sprintf("filler%d", i%9), 20, cores(2, 2)))
+		w.submit(bestEffortJob(fmt.Sprintf("b%d", i), fmt.Sprintf("filler%d", i%9), 20, cores(2, 2)))
 	}
 	w.run(3 * time.Second)
 	l := w.leader()
@@ -43,14 +43,14 @@
 	}
 	w.elect(false)
 	w.run(2 * time.Second)
-	w.took = func(string, *fakeWorker) time.Duration { return time.Hour }
+	w.runTime = func(string, *fakeWorker) time.Duration { return time.Hour }
 	for i := range 350 {
-		w.submit(serving(fmt.Sprintf("s%d", i), fmt.Sprintf("image%d", i%5), 5, cores(6, 12)))
-		w.submit(filler(fmt.Sprintf("b%d", i), fmt.Sprintf("filler%d", i%9), 8, cores(2, 2)))
+		w.submit(latencyCriticalJob(fmt.Sprintf("s%d", i), fmt.Sprintf("image%d", i%5), 5, cores(6, 12)))
+		w.submit(bestEffortJob(fmt.Sprintf("b%d", i), fmt.Sprintf("filler%d", i%9), 8, cores(2, 2)))
 	}
 	w.run(2 * time.Second)
 	for i := range 300 {
-		w.submit(simple(fmt.Sprintf("q%d", i), 10, cores(4, 2)))
+		w.submit(simpleJob(fmt.Sprintf("q%d", i), 10, cores(4, 2)))
 	}
 	w.run(time.Second)
 	l := w.leader()
--- a/internal/orchestrator/event.go
+++ b/internal/orchestrator/event.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Event is something that the leader has learnt. The types of this file implement it.
+// Event is an input of the state machine. The types of this file implement it.
 type Event interface{ event() }
 
-// Inherited is the state that an earlier leader left in the store. It comes first.
+// Inherited is the state that an earlier leader left in the store. No task starts before it.
 type Inherited struct {
 	Jobs      []InheritedJob
 	Finished  []Record // jobs in a final state
 	Roster    Roster
 	Learnt    Experience
-	HandedOff bool // the earlier leader stopped sending before it wrote its last records
+	HandedOff bool // the earlier leader stopped sending commands before it wrote its last records
 }
 
-// InheritedJob is an unfinished job of the store.
+// InheritedJob is a job in the store.
 type InheritedJob struct {
 	Job       Job
 	Revision  uint64
@@ -25,13 +25,13 @@
 	Cancelled bool
 }
 
-// JobAccepted says that a job stands in the store.
+// JobAccepted reports that a job is in the store.
 type JobAccepted struct {
 	Job      Job
 	Revision uint64
 }
 
-// CancelRequested says that the request to cancel a job stands in the store.
+// CancelRequested reports that the request to cancel a job is in the store.
 type CancelRequested struct{ ID string }
 
 // WorkerEntry is a worker as the platform's discovery lists it.
@@ -47,13 +47,13 @@
 	Warmup   time.Duration // how much longer the worker is slow after its start
 }
 
-// WorkersListed is the complete list of workers.
+// WorkersListed reports the complete list of workers.
 type WorkersListed struct{ Workers []WorkerEntry }
 
-// WorkerListed is a new or changed worker.
+// WorkerListed reports a new or changed entry of a worker.
 type WorkerListed struct{ Worker WorkerEntry }
 
-// WorkerUnlisted says that a worker's entry has gone.
+// WorkerUnlisted reports that a worker's entry has been removed.
 type WorkerUnlisted struct{ ID string }
 
 // RunningRow is a run that a worker lists as running.
@@ -61,37 +61,37 @@
 	Task    string
 	Run     int
 	Saved   string
-	Percent int // of its work; of a long-running task 100 when it is at work
+	Percent int // progress; of a long-running task 100 once it is ready
 	Figure  int // tail latency in ms of a task with a latency target, else millicores in use; 0: unknown
 }
 
-// EndHow says how a run ended.
+// EndHow is how a run ended.
 type EndHow string
 
-// How runs end.
+// Values of EndHow.
 const (
 	EndDone    EndHow = "done"
 	EndFailed  EndHow = "failed"
 	EndStopped EndHow = "stopped"
 	EndLapsed  EndHow = "lapsed" // its lease ended
-	EndBroken  EndHow = "broken" // another member of its gang ended
-	EndAlone   EndHow = "alone"  // the other members of its gang did not come
+	EndBroken  EndHow = "broken" // another member of its gang has ended
+	EndAlone   EndHow = "alone"  // the other members of its gang have not started
 )
 
 // EndedRow is a run that a worker lists as ended.
 type EndedRow struct {
-	Number int // of the end, rising for one incarnation of the worker
+	Number int // of the end, increasing within one incarnation of the worker
 	Task   string
 	Run    int
 	How    EndHow
 	Saved  string
 }
 
-// LookAnswered is a worker's answer to a look.
+// LookAnswered is a worker's answer to a poll.
 type LookAnswered struct {
 	Worker     string
-	Born       int64 // identifies the incarnation
-	Clock      time.Duration
+	Born       int64         // identifies the incarnation
+	Clock      time.Duration // the worker's clock
 	SentAt     time.Time
 	ReceivedAt time.Time
 	Running    []RunningRow
@@ -99,32 +99,32 @@
 	DrainLeft  time.Duration // how long a draining worker still serves; 0: unknown
 }
 
-// LookFailed says that a look got no usable answer.
+// LookFailed reports that a poll got no usable answer.
 type LookFailed struct {
 	Worker   string
 	Replaced bool // another worker answers at the address: this one has ended
-	Fenced   bool // the worker knows a newer leader
+	Fenced   bool // the worker has accepted a later leader
 }
 
 // StartOutcome is a worker's answer to a start.
 type StartOutcome string
 
-// Outcomes of starts.
+// Values of StartOutcome.
 const (
 	StartAccepted  StartOutcome = "accepted"
-	StartFenced    StartOutcome = "fenced"    // the worker knows a newer leader
-	StartOld       StartOutcome = "old"       // the run was stopped or has ended there
-	StartLate      StartOutcome = "late"      // the lease had ended on arrival
-	StartNoRoom    StartOutcome = "no room"   // does not fit
-	StartNoTicket  StartOutcome = "no ticket" // the policy's ticket is missing or stale
-	StartUnhealthy StartOutcome = "unhealthy" // the worker did nothing
+	StartFenced    StartOutcome = "fenced"    // the worker has accepted a later leader
+	StartOld       StartOutcome = "old"       // the run was stopped or has ended on the worker
+	StartLate      StartOutcome = "late"      // the lease had ended when the start arrived
+	StartNoRoom    StartOutcome = "no room"   // the worker has too little free capacity
+	StartNoTicket  StartOutcome = "no ticket" // the outside policy's ticket is missing or no longer valid
+	StartUnhealthy StartOutcome = "unhealthy" // the worker is unhealthy and has not started the run
 	StartInvalid   StartOutcome = "invalid"
 	StartReplaced  StartOutcome = "replaced"   // another worker answers at the address
-	StartNotSent   StartOutcome = "not sent"   // nothing left this host
-	StartUnknown   StartOutcome = "unanswered" // it may have started, or may start later
+	StartNotSent   StartOutcome = "not sent"   // the start has not left this host
+	StartUnknown   StartOutcome = "unanswered" // the run may have started, or may start later
 )
 
-// StartAnswered is the outcome of a StartRun.
+// StartAnswered reports the outcome of a StartRun.
 type StartAnswered struct {
 	Worker  string
 	Task    string
@@ -132,7 +132,7 @@
 	Outcome StartOutcome
 }
 
-// StopAnswered is the outcome of a StopRun.
+// StopAnswered reports the outcome of a StopRun.
 type StopAnswered struct {
 	Worker   string
 	Task     string
@@ -141,7 +141,7 @@
 	Fenced   bool
 }
 
-// PaceAnswered is the outcome of a PaceRun.
+// PaceAnswered reports the outcome of a PaceRun.
 type PaceAnswered struct {
 	Worker   string
 	Task     string
@@ -150,29 +150,29 @@
 	Answered bool
 }
 
-// Confirmed says that at SentAt no other leader had been elected.
+// Confirmed reports that no other leader had been elected at SentAt.
 type Confirmed struct{ SentAt time.Time }
 
-// Written says that a batch that NextBatch returned stands in the store.
+// Written reports that a batch from NextBatch is in the store.
 type Written struct{ Batch Batch }
 
-// Advised is the outside policy's answer on a step: the tickets by worker.
+// Advised is the outside policy's answer to an AskAdvice.
 type Advised struct {
 	Step    string // as in the request
 	Asked   []string
-	Tickets map[string]string
-	Valid   time.Duration
-	Failed  bool // no answer
+	Tickets map[string]string // by worker; workers without one are not allowed
+	Valid   time.Duration     // of the tickets, from the request on
+	Failed  bool              // no answer
 }
 
-// HandOver says that this leader stops. From then on it gives no orders, and its
-// records name the worker of each run.
+// HandOver ends this leadership. From then on the leader sends no commands, and its records
+// name the workers of all runs.
 type HandOver struct{}
 
-// Tick lets time pass.
+// Tick is sent at short intervals, for what depends only on time.
 type Tick struct {
-	// WallOffset is how far the time of day, which schedules refer to, is ahead of the
-	// time of events.
+	// WallOffset is how far the time of day, to which schedules refer, is ahead of the time
+	// of events.
 	WallOffset time.Duration
 }
 
--- a/internal/orchestrator/vocabulary.go
+++ b/internal/orchestrator/event_names.go
@@ -1,6 +1,6 @@
 package orchestrator
 
-// Names of the events that Note carries. docs/OPERATIONS.md explains each.
+// Values of Note.Event. docs/OPERATIONS.md explains each.
 const (
 	EventJobAdded      = "JobAdded"
 	EventJobFinished   = "JobFinished"
@@ -21,7 +21,7 @@
 	EventWorkerAvoided = "WorkerAvoided"
 )
 
-// Events lists the names.
+// Events returns all values of Note.Event.
 func Events() []string {
 	return []string{
 		EventJobAdded, EventJobFinished, EventStart, EventStartRefused, EventStop, EventCopy, EventEnd, EventAdopt,
--- /dev/null
+++ b/internal/orchestrator/interference.go
@@ -0,0 +1,360 @@
+package orchestrator
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	// measurementDelay is how long after a change of a worker's best-effort tasks or their
+	// speed its tail latencies still show the state before. They cover the last half second
+	// and are polled with a delay.
+	measurementDelay = 700 * time.Millisecond
+	// defaultIdleTailRatio is the tail latency of an idle task as a share of its latency
+	// target, until a lower one is measured.
+	defaultIdleTailRatio = 0.22
+	// defaultOwnLoad is the utilization that a task's own callers cause, until it is measured.
+	defaultOwnLoad = 0.44
+	// Own loads outside of minOwnLoad and maxOwnLoad are taken as measurement errors.
+	minOwnLoad = 0.15
+	maxOwnLoad = 0.72
+	// ownLoadWeight is the weight of one measurement in a task's own load, which varies
+	// within seconds.
+	ownLoadWeight = 0.5
+	// utilizationAtTarget is the utilization at which a tail latency is near its target.
+	utilizationAtTarget = 0.76
+	// maxOwnLoadRise is how much a task's own load may rise while a best-effort task runs.
+	maxOwnLoadRise = 0.08
+	// coefficientMargin is added to each coefficient before a best-effort task starts, because
+	// small errors of many such tasks on one worker add up.
+	coefficientMargin = 0.08
+	// baseBudget is the utilization that best-effort tasks may add in any case.
+	baseBudget = 0.06
+	// lowOwnLoad is the own load below which best-effort tasks may add the difference, up to
+	// maxBudget. When the own load rises, they are throttled.
+	lowOwnLoad = 0.60
+	maxBudget  = 0.16
+	// initialCoefficient is taken for pairs of images without samples. Most coefficients are
+	// near 0, some between 1 and 3.
+	initialCoefficient = 0.4
+	maxCoefficient     = 20.0
+	// initialVariance is the variance of a coefficient without samples.
+	initialVariance = 0.5
+	// sampleVariance is the variance of one measured utilization around the prediction: a
+	// task's own load varies by a quarter of its mean, and successive samples of a task are
+	// correlated.
+	sampleVariance = 0.05
+	// varianceDrift is added to a coefficient's variance with each sample, so that late
+	// samples still count.
+	varianceDrift = 0.0002
+	// maxBestEffortImages bounds the memory for one latency-critical image. The best-effort
+	// images beyond it share one estimate.
+	maxBestEffortImages = 64
+	// meanLoadWeight is the weight of one sample in an image's mean own load.
+	meanLoadWeight = 0.02
+	// maxTrials bounds the best-effort tasks that start within trialWindow beside tasks of an
+	// image whose interference with them has not been measured.
+	maxTrials   = 3
+	trialWindow = 1200 * time.Millisecond
+)
+
+// pairEstimate is the estimated interference of a best-effort image with a
+// latency-critical image.
+type pairEstimate struct {
+	bestEffort  string // empty: all best-effort images beyond maxBestEffortImages
+	coefficient float64
+	samples     int
+	trials      []time.Time // starts before the first sample
+	// covariance holds, by best-effort image, the covariance of its coefficient with this one.
+	covariance map[string]float64
+}
+
+// interferenceModel predicts how best-effort tasks raise the tail latency of
+// latency-critical tasks on the same worker. The tail latency is modelled as that of a
+// queue, idle / (1 - utilization). The utilization is the task's own load, which varies,
+// plus for each best-effort task the coefficient of the pair of images times the share of
+// the worker's processors that the task may use. Most pairs do not interfere; a few do so
+// strongly.
+type interferenceModel struct {
+	pairs          map[string]map[string]*pairEstimate // by latency-critical image, by best-effort image
+	idleTailRatios map[string]float64                  // lowest measured tail latency by image, as a share of the target
+	meanOwnLoad    map[string]float64                  // by latency-critical image
+}
+
+func newInterferenceModel() interferenceModel {
+	return interferenceModel{pairs: make(map[string]map[string]*pairEstimate), idleTailRatios: make(map[string]float64), meanOwnLoad: make(map[string]float64)}
+}
+
+func (m interferenceModel) pair(critical, bestEffort string) *pairEstimate {
+	pairs := m.pairs[critical]
+	if pairs == nil {
+		pairs = make(map[string]*pairEstimate)
+		m.pairs[critical] = pairs
+	}
+	e := pairs[bestEffort]
+	if e == nil && len(pairs) >= maxBestEffortImages {
+		bestEffort = ""
+		e = pairs[bestEffort]
+	}
+	if e == nil {
+		e = &pairEstimate{bestEffort: bestEffort, coefficient: initialCoefficient, covariance: map[string]float64{bestEffort: initialVariance}}
+		pairs[bestEffort] = e
+	}
+	return e
+}
+
+// addedUtilization returns the utilization that best-effort tasks add to a task of a
+// latency-critical image. loads are as from bestEffortLoads.
+func (m interferenceModel) addedUtilization(critical string, loads map[string]float64) float64 {
+	sum := 0.0
+	for image, load := range loads {
+		sum += m.pair(critical, image).coefficient * load
+	}
+	return sum
+}
+
+// idleTailRatio returns the tail latency of an idle task of an image as a share of its
+// target.
+func (m interferenceModel) idleTailRatio(critical string) float64 {
+	if idle, ok := m.idleTailRatios[critical]; ok {
+		return idle
+	}
+	return defaultIdleTailRatio
+}
+
+// utilization returns the utilization at which the model gives a tail latency, which is
+// passed as a share of the target. A new lowest tail latency becomes the idle one.
+func (m interferenceModel) utilization(critical string, tailRatio float64) float64 {
+	idle := m.idleTailRatio(critical)
+	if tailRatio < idle {
+		idle = tailRatio
+		m.idleTailRatios[critical] = tailRatio
+	}
+	return 1 - idle/tailRatio
+}
+
+// update corrects the model by a measured tail latency. The part that the best-effort
+// tasks do not explain is the task's own load, which varies around the image's mean.
+func (m interferenceModel) update(critical string, tailRatio float64, loads map[string]float64) {
+	mean, ok := m.meanOwnLoad[critical]
+	if !ok {
+		mean = defaultOwnLoad
+	}
+	residual := m.utilization(critical, tailRatio) - mean - m.addedUtilization(critical, loads)
+	m.meanOwnLoad[critical] = min(maxOwnLoad, max(minOwnLoad, mean+meanLoadWeight*residual))
+	m.updateCoefficients(critical, loads, residual)
+}
+
+// updateCoefficients distributes the residual of a prediction over the coefficients of the
+// best-effort images beside a task of a latency-critical image. It is a Kalman filter whose
+// state is the coefficients of that latency-critical image. The coefficients of images that
+// always run together stay uncertain together.
+func (m interferenceModel) updateCoefficients(critical string, loads map[string]float64, residual float64) {
+	present := make(map[string]float64, len(loads))
+	for image, load := range loads {
+		if load > 0 {
+			present[m.pair(critical, image).bestEffort] += load
+		}
+	}
+	for image := range present {
+		e := m.pair(critical, image)
+		e.samples++
+		e.trials = nil
+		e.covariance[image] += varianceDrift
+	}
+	total := sampleVariance
+	shared := make(map[string]float64) // covariance of each coefficient with the sample
+	for image, e := range m.pairs[critical] {
+		c := 0.0
+		for other, load := range present {
+			c += e.covariance[other] * load
+		}
+		if c != 0 {
+			shared[image] = c
+			total += c * present[image]
+		}
+	}
+	for image, c := range shared {
+		e := m.pair(critical, image)
+		e.coefficient = min(maxCoefficient, max(0, e.coefficient+c/total*residual))
+		for other, d := range shared {
+			e.covariance[other] -= c * d / total
+		}
+	}
+}
+
+// headroom is the predicted headroom of the tasks of a latency-critical image on a worker.
+type headroom struct {
+	image       string
+	utilization float64 // that best-effort tasks may still add
+}
+
+// headroomMaxAge bounds the age of a worker's cached headrooms.
+const headroomMaxAge = 100 * time.Millisecond
+
+// bestEffortLoads returns the share of the worker's processors that best-effort tasks may
+// use, by image. percent gives the speed limit of each run.
+func (w *worker) bestEffortLoads(percent func(*run) int) map[string]float64 {
+	loads := make(map[string]float64)
+	for _, r := range w.runs {
+		if r.task.step.Fills {
+			loads[r.task.step.Image] += w.bestEffortLoad(r.task.step.Step, percent(r))
+		}
+	}
+	return loads
+}
+
+func (w *worker) bestEffortLoad(s *Step, percent int) float64 {
+	return float64(s.Size.CPU) * float64(percent) / 100 / float64(max(1, w.Room.CPU))
+}
+
+// headrooms returns the headroom of each latency-critical image on a worker.
+func (o *Orchestrator) headrooms(w *worker) []headroom {
+	if w.load.latencyCritical == 0 {
+		return nil
+	}
+	if w.headroomsValid && o.now.Sub(w.headroomsAt) < headroomMaxAge {
+		return w.headrooms
+	}
+	w.headroomsValid, w.headroomsAt, w.headrooms = true, o.now, w.headrooms[:0]
+	loads := w.bestEffortLoads((*run).effectiveSpeed)
+	total := float64(w.load.bestEffort) / float64(max(1, w.Room.CPU))
+	for _, r := range w.runs {
+		if r.task.step.LatencyTarget <= 0 {
+			continue
+		}
+		image := r.task.step.Image
+		left := min(max(baseBudget, lowOwnLoad-r.ownLoad), maxBudget, utilizationAtTarget-maxOwnLoadRise-r.ownLoad) - o.interference.addedUtilization(image, loads) - coefficientMargin*total
+		if i := slices.IndexFunc(w.headrooms, func(h headroom) bool { return h.image == image }); i >= 0 {
+			w.headrooms[i].utilization = min(w.headrooms[i].utilization, left)
+			continue
+		}
+		w.headrooms = append(w.headrooms, headroom{image: image, utilization: left})
+	}
+	return w.headrooms
+}
+
+// updateInterference passes the tail latencies from a poll of a worker to the model, unless
+// its best-effort tasks have changed within measurementDelay.
+func (o *Orchestrator) updateInterference(w *worker, rows []RunningRow) {
+	if w.load.latencyCritical == 0 {
+		return
+	}
+	for _, r := range w.runs {
+		if r.task.step.Fills && (o.now.Sub(r.startedAt) < measurementDelay || o.now.Sub(r.throttleSentAt) < measurementDelay) {
+			return
+		}
+	}
+	loads := w.bestEffortLoads((*run).effectiveSpeed)
+	for _, row := range rows {
+		r := w.runs[runKey{row.Task, row.Run}]
+		if r == nil || r.task.step.LatencyTarget <= 0 || row.Figure <= 0 {
+			continue
+		}
+		image := r.task.step.Image
+		o.interference.update(image, r.tailRatio, loads)
+		own := min(maxOwnLoad, max(minOwnLoad, o.interference.utilization(image, r.tailRatio)-o.interference.addedUtilization(image, loads)))
+		r.ownLoad += ownLoadWeight * (own - r.ownLoad)
+	}
+}
+
+// headroomWith returns the utilization that best-effort tasks may still add on a worker
+// after a task of the step has started there too: the least over its latency-critical
+// images. Below 0, a tail latency is predicted to come near its target.
+func (o *Orchestrator) headroomWith(s *step, w *worker) float64 {
+	left := baseBudget
+	load := w.bestEffortLoad(s.Step, 100)
+	for _, h := range o.headrooms(w) {
+		e := o.interference.pair(h.image, s.Image)
+		if e.samples == 0 && e.recentTrials(o.now) >= maxTrials {
+			return -utilizationAtTarget
+		}
+		left = min(left, h.utilization-(e.coefficient+coefficientMargin)*load)
+	}
+	return left
+}
+
+// harmless reports whether samples show that a best-effort task of the step interferes with
+// no latency-critical task on a worker.
+func (o *Orchestrator) harmless(s *step, w *worker) bool {
+	load := w.bestEffortLoad(s.Step, 100)
+	for _, h := range o.headrooms(w) {
+		e := o.interference.pair(h.image, s.Image)
+		if e.samples < harmlessMinSamples || e.coefficient*load > harmlessUtilization {
+			return false
+		}
+	}
+	return true
+}
+
+// A best-effort task is harmless if it adds at most harmlessUtilization to each
+// latency-critical task beside it, by a coefficient from at least harmlessMinSamples samples.
+const (
+	harmlessMinSamples  = 30
+	harmlessUtilization = 0.01
+)
+
+// initialSpeed returns the percent of its speed at which a task of the step starts on a
+// worker: 100, unless a latency-critical task there would come near its target.
+func (o *Orchestrator) initialSpeed(s *step, w *worker) int {
+	if !s.Fills {
+		return 100
+	}
+	speed := 1.0
+	load := w.bestEffortLoad(s.Step, 100)
+	for _, h := range o.headrooms(w) {
+		if add := o.interference.pair(h.image, s.Image).coefficient * load; add > negligibleUtilization && add > h.utilization {
+			speed = min(speed, h.utilization/add)
+		}
+	}
+	return max(minRunSpeed, int(100*speed))
+}
+
+// interferingShare returns the share of the latency-critical images with which a
+// best-effort task of the step interferes strongly.
+func (o *Orchestrator) interferingShare(s *step) float64 {
+	if len(o.interference.meanOwnLoad) == 0 {
+		return 0
+	}
+	n := 0
+	for image := range o.interference.meanOwnLoad {
+		if o.interference.pair(image, s.Image).coefficient >= separationCoefficient {
+			n++
+		}
+	}
+	return float64(n) / float64(len(o.interference.meanOwnLoad))
+}
+
+// separationCoefficient is the coefficient from which a pair of images is kept on separate
+// workers if possible: with it, a best-effort task of a tenth of a worker uses up most of
+// baseBudget.
+const separationCoefficient = 0.6
+
+// recentTrials returns the number of starts within trialWindow.
+func (e *pairEstimate) recentTrials(now time.Time) int {
+	e.trials = slices.DeleteFunc(e.trials, func(t time.Time) bool { return now.Sub(t) > trialWindow })
+	return len(e.trials)
+}
+
+// recordTrial records the start of a best-effort task beside latency-critical images whose
+// interference with it has no samples.
+func (o *Orchestrator) recordTrial(s *step, w *worker) {
+	if !s.Fills {
+		return
+	}
+	for _, h := range o.headrooms(w) {
+		if e := o.interference.pair(h.image, s.Image); e.samples == 0 {
+			e.trials = append(e.trials, o.now)
+		}
+	}
+	w.headroomsValid = false
+}
+
+// interferenceOn returns the utilization that a worker's present best-effort tasks would
+// add to a latency-critical task of the step.
+func (o *Orchestrator) interferenceOn(s *step, w *worker) float64 {
+	if w.load.bestEffort == 0 {
+		return 0
+	}
+	return o.interference.addedUtilization(s.Image, w.bestEffortLoads((*run).effectiveSpeed))
+}
--- a/internal/orchestrator/job.go
+++ b/internal/orchestrator/job.go
@@ -12,19 +12,19 @@
 
 // States of jobs.
 const (
-	StateQueued    State = "queued" // no task has started
+	StateQueued    State = "queued" // no task has started yet
 	StateRunning   State = "running"
-	StateSucceeded State = "succeeded" // every task has ended well
+	StateSucceeded State = "succeeded" // every task has succeeded
 	StateFailed    State = "failed"    // a task has used up its attempts
 	StateCancelled State = "cancelled"
 )
 
-// Final reports whether the state does not change any more.
+// Final reports whether the state is a final one.
 func (s State) Final() bool {
 	return s == StateSucceeded || s == StateFailed || s == StateCancelled
 }
 
-// Resources are an amount of what a worker has.
+// Resources is an amount of the resources of a worker.
 type Resources struct {
 	CPU    int // thousandths of a core
 	Memory int // MB
@@ -44,59 +44,59 @@
 	return r.CPU >= o.CPU && r.Memory >= o.Memory && r.GPU >= o.GPU
 }
 
-// Step is a group of equal tasks of a job.
+// Step is a group of identical tasks of a job.
 type Step struct {
 	Count         int // tasks
 	Size          Resources
-	Estimate      time.Duration // rough run time of a task
-	After         []int         // earlier steps whose tasks must all have ended well
+	Estimate      time.Duration // approximate run time of a task
+	After         []int         // indexes of earlier steps whose tasks must all have succeeded
 	Checkpoints   bool          // tasks save their progress
-	Gang          bool          // tasks work only while all of them run
+	Gang          bool          // tasks make progress only while all of them run
 	SameRack      bool          // tasks are slow when they run on several racks
-	RequiredLabel string
-	RackAffinity  string // rack that holds the data; slow elsewhere
-	MaxPerWorker  int    // tasks of one occurrence on one worker; 0: any number
-	Speculative   bool   // copies of a task may run at the same time
-	LongRunning   bool   // tasks run until the job is cancelled
-	Image         string // what the tasks run
-	LatencyTarget time.Duration
-	Fills         bool // runs on what other tasks leave unused of a worker's processors
-	MaxMissing    int  // tasks that the scheduler itself may stop at the same time; LongRunning only
+	RequiredLabel string        // of the workers that may run the tasks; empty: any
+	RackAffinity  string        // rack that holds the data; tasks are slow elsewhere
+	MaxPerWorker  int           // tasks of one occurrence on one worker; 0: any number
+	Speculative   bool          // copies of a task may run at the same time
+	LongRunning   bool          // tasks run until the job is cancelled
+	Image         string        // program that the tasks run
+	LatencyTarget time.Duration // of the tail latency; 0: not a latency-critical task
+	Fills         bool          // best-effort tasks: they run on the processors that other tasks leave unused
+	MaxMissing    int           // tasks that the scheduler itself may stop at the same time; LongRunning only
 }
 
-// Policy is what the configuration says of a job's queue, as of its acceptance.
+// Policy is the configuration of a job's queue at the time of the job's acceptance.
 type Policy struct {
 	Queue          string
-	Service        string // whose workers run the tasks
-	Priority       int    // 0 comes first
-	Attempts       int    // failed runs of a task that fail its job
-	Stretch        float64
+	Service        string  // its workers run the tasks
+	Priority       int     // 0 is the highest
+	Attempts       int     // number of failed runs of a task that fail its job
+	Stretch        float64 // a job's deadline is Stretch times its expected run time plus TargetDuration after its submission
 	TargetDuration time.Duration
-	Advised        bool // an outside policy names the workers that may run a step
-	Guarded        bool // workers refuse what does not fit
+	Advised        bool // an outside policy decides which workers may run a step
+	Guarded        bool // workers refuse tasks that exceed their free capacity
 }
 
 // Job is a job as it was submitted.
 type Job struct {
 	ID          string
-	Spec        string // handed to each task
+	Spec        string // passed to each task
 	Steps       []Step
-	Occurrences int // 0: runs once, at once
-	First       time.Time
-	Interval    time.Duration
+	Occurrences int           // 0: no schedule, the job runs once and immediately
+	First       time.Time     // due time of the first occurrence
+	Interval    time.Duration // between the due times of occurrences
 	Policy      Policy
 	Submitted   time.Time
 	Epoch       uint64 // of the leader under which the job was accepted
 }
 
-// Limits of a job. They bound the memory that one job can take.
+// Limits of a job. They bound the memory that one job can use.
 const (
 	maxSteps       = 64
 	maxTasks       = 10000  // of one step
-	maxOccurrences = 100000 // a year of one every five minutes
+	maxOccurrences = 100000 // a year at one every five minutes
 )
 
-// InvalidJobError says what is wrong with a submitted job.
+// InvalidJobError is the reason why a submitted job is invalid.
 type InvalidJobError struct {
 	Step   int // -1: the job itself
 	Reason string
@@ -109,25 +109,26 @@
 	return fmt.Sprintf("invalid job: step %d: %s", e.Step, e.Reason)
 }
 
-// Validate returns an *InvalidJobError if the job can not be accepted.
+// Validate returns an *InvalidJobError if the job is invalid.
 func (j *Job) Validate() error {
 	switch {
 	case len(j.Steps) == 0 || len(j.Steps) > maxSteps:
-		return &InvalidJobError{-1, fmt.Sprintf("it has %d steps, 1 to %d are allowed", len(j.Steps), maxSteps)}
+		return &InvalidJobError{-1, fmt.Sprintf("%d steps, 1 to %d are allowed", len(j.Steps), maxSteps)}
 	case j.Occurrences < 0 || j.Occurrences > maxOccurrences:
 		return &InvalidJobError{-1, fmt.Sprintf("%d occurrences, 0 to %d are allowed", j.Occurrences, maxOccurrences)}
 	case j.Interval < 0:
 		return &InvalidJobError{-1, "negative interval"}
 	}
 	for i, s := range j.Steps {
-		if reason := s.fault(i); reason != "" {
+		if reason := s.problem(i); reason != "" {
 			return &InvalidJobError{i, reason}
 		}
 	}
 	return nil
 }
 
-func (s *Step) fault(index int) string {
+// problem returns why a step is invalid, empty if it is valid. index is the step's index.
+func (s *Step) problem(index int) string {
 	switch {
 	case s.Count < 1 || s.Count > maxTasks:
 		return fmt.Sprintf("%d tasks, 1 to %d are allowed", s.Count, maxTasks)
--- a/internal/orchestrator/load_test.go
+++ b/internal/orchestrator/load_test.go
@@ -12,23 +12,23 @@
 	"peridotpitch/internal/orchestrator"
 )
 
-// filler returns a job whose tasks fill.
-func filler(id, image string, tasks int, size orchestrator.Resources) orchestrator.Job {
-	j := simple(id, tasks, size)
+// bestEffortJob returns a job whose tasks fill.
+func bestEffortJob(id, image string, tasks int, size orchestrator.Resources) orchestrator.Job {
+	j := simpleJob(id, tasks, size)
 	j.Steps[0].Fills, j.Steps[0].Image, j.Steps[0].Checkpoints = true, image, true
 	j.Policy = orchestrator.Policy{Queue: "batch", Service: "s", Attempts: 3, Priority: 2, Stretch: 2, TargetDuration: time.Second}
 	return j
 }
 
-// serving returns a job of lasting tasks with a latency target.
-func serving(id, image string, tasks int, size orchestrator.Resources) orchestrator.Job {
-	j := simple(id, tasks, size)
+// latencyCriticalJob returns a job of lasting tasks with a latency target.
+func latencyCriticalJob(id, image string, tasks int, size orchestrator.Resources) orchestrator.Job {
+	j := simpleJob(id, tasks, size)
 	j.Steps[0].LongRunning, j.Steps[0].Image, j.Steps[0].LatencyTarget = true, image, 18*time.Millisecond
 	return j
 }
 
-// finished returns the virtual time from a job's submission to its final state.
-func (w *world) finished(id string) time.Duration {
+// completionTime returns the virtual time from a job's submission to its final state.
+func (w *world) completionTime(id string) time.Duration {
 	for _, n := range w.notes {
 		if n.Event == orchestrator.EventJobFinished && n.Job == id {
 			return n.Age
@@ -39,33 +39,33 @@
 
 // Pattern: a worker dies silently under load. Guards against looks to it that extend the
 // leases which they wait for: its tasks were never started again.
-func TestDeadWorkerIsGivenUp(t *testing.T) {
+func TestTasksOfDeadWorkerRestart(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1, cores(4, 16))
 	dead := w.workers["w0"]
-	j := simple("j1", 2, cores(1, 1))
+	j := simpleJob("j1", 2, cores(1, 1))
 	j.Steps[0].LongRunning = true
 	w.submit(j)
 	w.run(time.Second)
-	is.Equal(w.where("j1"), []string{"w0", "w0"})
+	is.Equal(w.runningOn("j1"), []string{"w0", "w0"})
 	w.addWorker("w1", cores(4, 16), "r0")
 	w.leader().step(orchestrator.WorkersListed{Workers: w.entries()})
 	dead.dead = true
 	// The lease of 4.5 s on a clock that is 2% slow, a look, and the start.
 	w.run(6 * time.Second)
-	is.Equal(w.where("j1"), []string{"w0", "w0", "w1", "w1"})
+	is.Equal(w.runningOn("j1"), []string{"w0", "w0", "w1", "w1"})
 }
 
 // Pattern: a failure domain is cut off with its leader, and a successor is elected.
 // Guards against the old leader starting tasks again whose workers the successor holds.
-func TestCutOffLeaderStartsNothingAgain(t *testing.T) {
+func TestPartitionedLeaderRestartsNothing(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1)
 	w.addWorker("w0", cores(4, 16), "r0")
 	w.addWorker("w1", cores(4, 16), "r1")
 	w.elect(false)
 	w.run(time.Second)
-	j := simple("j1", 8, cores(1, 1))
+	j := simpleJob("j1", 8, cores(1, 1))
 	j.Steps[0].LongRunning = true
 	w.submit(j)
 	w.run(time.Second)
@@ -75,7 +75,7 @@
 	is.Equal(w.starts, before) // neither knows enough to start anything
 	w.heal()
 	w.run(15 * time.Second)
-	is.Equal(len(w.where("j1")), 8)
+	is.Equal(len(w.runningOn("j1")), 8)
 }
 
 // Pattern: rolling restart under load. Guards against waits for workers that a leader
@@ -83,30 +83,30 @@
 func TestCleanHandOverStartsWorkAtOnce(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 4, cores(4, 16))
-	w.submit(simple("j1", 4, cores(1, 1)))
+	w.submit(simpleJob("j1", 4, cores(1, 1)))
 	w.run(200 * time.Millisecond)
 	clean := w.leader().handOver()
 	is.True(clean)
 	w.workers["w3"].dead = true // not reached by the successor
 	w.elect(clean)
-	w.submit(simple("j2", 2, cores(1, 1)))
+	w.submit(simpleJob("j2", 2, cores(1, 1)))
 	w.run(1500 * time.Millisecond)
 	is.Equal(w.state("j2"), orchestrator.StateSucceeded)
 }
 
 // Pattern: workers that fail all they start, with a good health. Guards against them
 // drawing all work because they look idle, and against never trying them again.
-func TestGreyWorkerLosesItsWork(t *testing.T) {
+func TestFailingWorkerIsQuarantined(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1)
 	for i := range 4 {
 		w.addWorker(fmt.Sprintf("w%d", i), cores(8, 32), "r0")
 	}
-	w.workers["w0"].grey = true
+	w.workers["w0"].failsTasks = true
 	w.elect(false)
 	w.run(time.Second)
 	for i := range 30 {
-		w.submit(simple(fmt.Sprintf("j%d", i), 2, cores(1, 1)))
+		w.submit(simpleJob(fmt.Sprintf("j%d", i), 2, cores(1, 1)))
 		w.run(200 * time.Millisecond)
 	}
 	w.run(10 * time.Second)
@@ -118,60 +118,60 @@
 	}
 	is.Equal(failed, 0)
 	is.True(len(w.workers["w0"].ended) <= 12) // a fifth of the 60 tasks: the first few, and probes
-	w.workers["w0"].grey = false
+	w.workers["w0"].failsTasks = false
 	w.workers["w0"].ended = nil
 	for i := range 20 {
-		w.submit(simple(fmt.Sprintf("k%d", i), 2, cores(1, 1)))
+		w.submit(simpleJob(fmt.Sprintf("k%d", i), 2, cores(1, 1)))
 		w.run(300 * time.Millisecond)
 	}
-	is.True(w.workers["w0"].count > 0)
+	is.True(w.workers["w0"].endCount > 0)
 }
 
 // Pattern: tasks that stand still on one worker. Guards against jobs that wait for them.
-func TestStandingTaskMoves(t *testing.T) {
+func TestHungTaskMoves(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1)
 	w.addWorker("w0", cores(8, 32), "r0")
 	w.addWorker("w1", cores(8, 32), "r0")
-	w.workers["w0"].still = true
+	w.workers["w0"].hangsTasks = true
 	w.elect(false)
 	w.run(time.Second)
-	w.submit(simple("j1", 4, cores(2, 2)))
+	w.submit(simpleJob("j1", 4, cores(2, 2)))
 	w.run(6 * time.Second)
 	is.Equal(w.state("j1"), orchestrator.StateSucceeded)
 }
 
 // Pattern: a long queue of lasting tasks that find no room. Guards against short jobs
 // being reached by whole passes only, every 200 ms.
-func TestShortJobPassesWaitingLastingTasks(t *testing.T) {
+func TestShortJobPassesWaitingLongRunningTasks(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1, cores(8, 64))
 	for i := range 30 {
-		j := simple(fmt.Sprintf("l%d", i), 1, cores(6, 1))
+		j := simpleJob(fmt.Sprintf("l%d", i), 1, cores(6, 1))
 		j.Steps[0].LongRunning = true
 		w.submit(j)
 	}
 	w.run(5 * time.Second)
-	w.took = func(string, *fakeWorker) time.Duration { return 300 * time.Millisecond }
-	w.submit(simple("j1", 1, cores(1, 1)))
+	w.runTime = func(string, *fakeWorker) time.Duration { return 300 * time.Millisecond }
+	w.submit(simpleJob("j1", 1, cores(1, 1)))
 	w.run(100 * time.Millisecond)
-	is.Equal(w.where("j1"), []string{"w0"})
+	is.Equal(w.runningOn("j1"), []string{"w0"})
 }
 
 // Pattern: burst of wide batch jobs. Guards against all of them being begun and none
 // being in time: those that can meet their objective end first.
-func TestBurstEndsJobsInTurn(t *testing.T) {
+func TestBurstFinishesJobsInOrder(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 4, cores(8, 64))
 	for i := range 12 {
-		j := simple(fmt.Sprintf("b%02d", i), 16, cores(2, 2))
+		j := simpleJob(fmt.Sprintf("b%02d", i), 16, cores(2, 2))
 		j.Steps = append(j.Steps, orchestrator.Step{Count: 16, Size: cores(2, 2), Estimate: time.Second, After: []int{0}})
 		j.Policy = orchestrator.Policy{Queue: "batch", Service: "s", Attempts: 3, Priority: 2, Stretch: 2, TargetDuration: time.Second}
 		w.submit(j)
 	}
 	w.run(40 * time.Second)
 	for i := range 12 {
-		took := w.finished(fmt.Sprintf("b%02d", i))
+		took := w.completionTime(fmt.Sprintf("b%02d", i))
 		is.True(took > 0)
 		// 16 tasks run at a time, so that each job takes 2 s of the whole. A quarter is
 		// added for the notice of ends, and a step of the next job that fills gaps.
@@ -183,17 +183,17 @@
 
 // Pattern: fillers beside tasks with a latency target. Guards against harm by one bad
 // pair of images, and against slowing fillers that disturb nobody.
-func TestFillersThatDisturbKeepAway(t *testing.T) {
+func TestInterferingTasksAreSeparated(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 6, cores(16, 64))
-	w.submit(serving("s1", "web", 3, cores(8, 8)))
-	w.submit(serving("s2", "api", 3, cores(8, 8)))
+	w.submit(latencyCriticalJob("s1", "web", 3, cores(8, 8)))
+	w.submit(latencyCriticalJob("s2", "api", 3, cores(8, 8)))
 	w.run(time.Second)
-	w.took = func(string, *fakeWorker) time.Duration { return 2 * time.Second }
+	w.runTime = func(string, *fakeWorker) time.Duration { return 2 * time.Second }
 	over, samples := 0, 0
 	for i := range 40 {
-		w.submit(filler(fmt.Sprintf("loud%d", i), "loud", 2, cores(3, 2)))
-		w.submit(filler(fmt.Sprintf("calm%d", i), "calm", 2, cores(3, 2)))
+		w.submit(bestEffortJob(fmt.Sprintf("loud%d", i), "loud", 2, cores(3, 2)))
+		w.submit(bestEffortJob(fmt.Sprintf("calm%d", i), "calm", 2, cores(3, 2)))
 		for range 10 {
 			o, n := w.measureTails()
 			if i >= 10 {
@@ -219,7 +219,7 @@
 		loud := 0.0
 		for name, r := range k.runs {
 			if strings.HasPrefix(name, "loud") {
-				loud += 3.0 / 16 * float64(r.pace) / 100
+				loud += 3.0 / 16 * float64(r.speed) / 100
 			}
 		}
 		for name := range k.runs {
@@ -230,9 +230,9 @@
 			case !strings.HasPrefix(name, "s2."):
 				continue
 			}
-			k.tails[name] = int(4 / (1 - min(u, 0.98)))
+			k.tailLatencyMs[name] = int(4 / (1 - min(u, 0.98)))
 			all++
-			if k.tails[name] > 18 {
+			if k.tailLatencyMs[name] > 18 {
 				over++
 			}
 		}
@@ -242,32 +242,32 @@
 
 // Pattern: memory taken by batch work. Guards against a lasting task of higher priority
 // that stays away although batch tasks could make room.
-func TestLastingTaskPreemptsBatch(t *testing.T) {
+func TestLongRunningTaskPreemptsBatch(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1, cores(32, 16))
-	w.took = func(string, *fakeWorker) time.Duration { return 30 * time.Second }
-	w.submit(filler("b1", "x", 8, cores(1, 2)))
+	w.runTime = func(string, *fakeWorker) time.Duration { return 30 * time.Second }
+	w.submit(bestEffortJob("b1", "x", 8, cores(1, 2)))
 	w.run(time.Second)
-	is.Equal(len(w.where("b1")), 8)
-	w.submit(serving("s1", "web", 1, cores(2, 4)))
+	is.Equal(len(w.runningOn("b1")), 8)
+	w.submit(latencyCriticalJob("s1", "web", 1, cores(2, 4)))
 	w.run(3 * time.Second)
-	is.Equal(w.where("s1"), []string{"w0"})
-	is.Equal(len(w.where("b1")), 6)
+	is.Equal(w.runningOn("s1"), []string{"w0"})
+	is.Equal(len(w.runningOn("b1")), 6)
 }
 
 // Pattern: jobs that can never be done. Guards against more starts than attempts, and
 // against a job that is never shown as failed.
-func TestPoisonJobFailsAfterItsAttempts(t *testing.T) {
+func TestFailingJobFailsAfterItsAttempts(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1)
 	for i := range 5 {
 		w.addWorker(fmt.Sprintf("w%d", i), cores(8, 32), "r0")
 	}
-	w.succeed = func(task string, _ int) bool { return !strings.HasPrefix(task, "p") }
+	w.succeeds = func(task string, _ int) bool { return !strings.HasPrefix(task, "p") }
 	w.elect(false)
 	w.run(time.Second)
-	w.submit(simple("p1", 1, cores(1, 1)))
-	w.submit(simple("j1", 1, cores(1, 1)))
+	w.submit(simpleJob("p1", 1, cores(1, 1)))
+	w.submit(simpleJob("j1", 1, cores(1, 1)))
 	w.run(10 * time.Second)
 	is.Equal(w.state("p1"), orchestrator.StateFailed)
 	is.Equal(w.state("j1"), orchestrator.StateSucceeded)
@@ -279,14 +279,14 @@
 func TestCancelStopsAndStartsNothing(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1, cores(4, 32))
-	w.took = func(string, *fakeWorker) time.Duration { return time.Minute }
-	w.submit(simple("j1", 8, cores(1, 1)))
+	w.runTime = func(string, *fakeWorker) time.Duration { return time.Minute }
+	w.submit(simpleJob("j1", 8, cores(1, 1)))
 	w.run(500 * time.Millisecond)
 	started := w.starts
 	w.cancel("j1")
 	is.Equal(w.state("j1"), orchestrator.StateCancelled)
 	w.run(time.Second)
-	is.Equal(len(w.where("j1")), 0)
+	is.Equal(len(w.runningOn("j1")), 0)
 	is.Equal(w.starts, started)
 }
 
@@ -299,22 +299,22 @@
 	}
 	w.elect(false)
 	w.run(time.Second)
-	w.took = func(string, *fakeWorker) time.Duration { return 5 * time.Second }
-	w.submit(simple("j1", 4, cores(1, 1)))
+	w.runTime = func(string, *fakeWorker) time.Duration { return 5 * time.Second }
+	w.submit(simpleJob("j1", 4, cores(1, 1)))
 	w.run(200 * time.Millisecond)
-	g := simple("g1", 6, cores(1, 1))
+	g := simpleJob("g1", 6, cores(1, 1))
 	g.Steps[0].Gang, g.Steps[0].SameRack, g.Steps[0].Estimate = true, true, 5*time.Second
 	w.submit(g)
 	w.run(time.Second)
-	where := w.where("g1")
+	where := w.runningOn("g1")
 	is.Equal(len(where), 6) // each rack has 6 cores left
 	where = slices.Compact(where)
 	is.True(slices.Equal(where, []string{"w0", "w1"}) || slices.Equal(where, []string{"w2", "w3"}))
-	h := simple("g2", 6, cores(1, 1))
+	h := simpleJob("g2", 6, cores(1, 1))
 	h.Steps[0].Gang, h.Steps[0].SameRack, h.Steps[0].Estimate = true, true, 5*time.Second
 	w.submit(h)
 	w.run(time.Second)
-	n := len(w.where("g2"))
+	n := len(w.runningOn("g2"))
 	is.True(n == 0 || n == 6)
 }
 
@@ -322,7 +322,7 @@
 func TestOccurrencesStartWhenDue(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1, cores(4, 32))
-	j := simple("j1", 1, cores(1, 1))
+	j := simpleJob("j1", 1, cores(1, 1))
 	j.Occurrences, j.First, j.Interval = 3, w.now.Add(2*time.Second), 3*time.Second
 	w.submit(j)
 	w.run(1700 * time.Millisecond)
@@ -336,28 +336,28 @@
 
 // Guards against data far away: a task goes to the rack of its data while there is room,
 // and elsewhere when it would wait too long.
-func TestTaskRunsNearItsData(t *testing.T) {
+func TestTaskRunsOnRackOfItsData(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1)
 	w.addWorker("w0", cores(8, 32), "r0")
 	w.addWorker("w1", cores(2, 32), "r1")
 	w.elect(false)
 	w.run(time.Second)
-	w.took = func(string, *fakeWorker) time.Duration { return 3 * time.Second }
-	j := simple("j1", 3, cores(1, 1))
+	w.runTime = func(string, *fakeWorker) time.Duration { return 3 * time.Second }
+	j := simpleJob("j1", 3, cores(1, 1))
 	j.Steps[0].RackAffinity = "r1"
 	w.submit(j)
 	w.run(300 * time.Millisecond)
-	is.Equal(w.where("j1"), []string{"w1", "w1"})
+	is.Equal(w.runningOn("j1"), []string{"w1", "w1"})
 	w.run(time.Second)
-	is.Equal(w.where("j1"), []string{"w0", "w1", "w1"})
+	is.Equal(w.runningOn("j1"), []string{"w0", "w1", "w1"})
 }
 
 // Guards against starts on workers that leave, and against work that ends with them.
 func TestDrainingWorkerIsEvacuated(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1, cores(8, 32))
-	j := simple("j1", 2, cores(1, 1))
+	j := simpleJob("j1", 2, cores(1, 1))
 	j.Steps[0].LongRunning = true
 	w.submit(j)
 	w.run(time.Second)
@@ -365,12 +365,12 @@
 	w.workers["w0"].entry.Draining = true
 	w.leader().step(orchestrator.WorkersListed{Workers: w.entries()})
 	w.run(1500 * time.Millisecond)
-	is.Equal(w.where("j1"), []string{"w1", "w1"})
+	is.Equal(w.runningOn("j1"), []string{"w1", "w1"})
 }
 
 // Pattern: workers leave, and then all entry hosts die. Guards against a successor that
 // waits for the leases of a worker that had left with nothing running.
-func TestSuccessorDoesNotWaitForLeftWorker(t *testing.T) {
+func TestSuccessorDoesNotWaitForIdleWorkerThatLeft(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1)
 	w.addWorker("w0", cores(8, 32), "r0")
@@ -382,7 +382,7 @@
 	w.run(time.Second)
 	w.leader().frozen = true // it neither starts the job nor tells that the worker has gone
 	left.dead = true
-	w.submit(simple("j1", 1, cores(1, 1))) // not started before the leader dies
+	w.submit(simpleJob("j1", 1, cores(1, 1))) // not started before the leader dies
 	w.elect(false)
 	w.run(2 * time.Second)
 	is.Equal(w.state("j1"), orchestrator.StateSucceeded)
@@ -401,7 +401,7 @@
 		"negative limit":   func(j *orchestrator.Job) { j.Steps[0].MaxPerWorker = -1 },
 		"negative latency": func(j *orchestrator.Job) { j.Steps[0].LatencyTarget = -1 },
 	} {
-		j := simple("j1", 1, cores(1, 1))
+		j := simpleJob("j1", 1, cores(1, 1))
 		is.NoErr(j.Validate())
 		change(&j)
 		err := j.Validate()
--- a/internal/orchestrator/model_test.go
+++ b/internal/orchestrator/model_test.go
@@ -12,18 +12,18 @@
 	"peridotpitch/internal/orchestrator"
 )
 
-// TestModel guards against two runs of a task at the same time, starts after an
+// TestInvariantsUnderFaults guards against two runs of a task at the same time, starts after an
 // acknowledged end, starts beyond the attempts and beyond a worker's room, while leaders
 // are replaced, cut off and frozen, orders are lost or carried out late, and workers
 // restart. world.checkStart fails the test. Afterwards, with all faults over, every job
 // must end.
-func TestModel(t *testing.T) {
+func TestInvariantsUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newWorld(rt, rapid.Uint64().Draw(rt, "seed"))
-		w.faults = faults{lost: 0.03, appliedLat: 0.05}
-		w.succeed = func(string, int) bool { return w.rnd.Float64() > 0.05 }
-		w.took = func(string, *fakeWorker) time.Duration {
-			return 300*time.Millisecond + time.Duration(w.rnd.Int64N(int64(2*time.Second)))
+		w.faults = faults{dropped: 0.03, appliedLate: 0.05}
+		w.succeeds = func(string, int) bool { return w.rng.Float64() > 0.05 }
+		w.runTime = func(string, *fakeWorker) time.Duration {
+			return 300*time.Millisecond + time.Duration(w.rng.Int64N(int64(2*time.Second)))
 		}
 		for i := range 5 {
 			w.addWorker(fmt.Sprintf("w%d", i), cores(8, 32), fmt.Sprintf("r%d", i%2))
@@ -37,13 +37,13 @@
 				w.submit(modelJob(rt, jobs))
 			case "lasting":
 				jobs++
-				j := simple(fmt.Sprintf("j%d", jobs), 2, cores(1, 1))
+				j := simpleJob(fmt.Sprintf("j%d", jobs), 2, cores(1, 1))
 				j.Steps[0].LongRunning = true
 				w.submit(j)
 			case "elect":
 				w.elect(false)
 			case "hand over":
-				if l := w.leader(); !l.frozen && !l.noStore && !l.over {
+				if l := w.leader(); !l.frozen && !l.noStore && !l.deposed {
 					w.elect(l.handOver())
 				}
 			case "split":
@@ -79,7 +79,7 @@
 }
 
 func modelJob(rt *rapid.T, n int) orchestrator.Job {
-	j := simple(fmt.Sprintf("j%d", n), rapid.IntRange(1, 6).Draw(rt, "tasks"), cores(float64(rapid.IntRange(1, 4).Draw(rt, "cores")), 2))
+	j := simpleJob(fmt.Sprintf("j%d", n), rapid.IntRange(1, 6).Draw(rt, "tasks"), cores(float64(rapid.IntRange(1, 4).Draw(rt, "cores")), 2))
 	if rapid.Bool().Draw(rt, "two steps") {
 		j.Steps = append(j.Steps, orchestrator.Step{Count: 2, Size: cores(1, 1), Estimate: time.Second, After: []int{0}})
 	}
@@ -92,11 +92,11 @@
 // be carried out late are lost with the old one: nothing in an order tells a new
 // incarnation of the same name that it was meant for the old one.
 func (k *fakeWorker) restart(w *world) {
-	w.late = slices.DeleteFunc(w.late, func(o lateOrder) bool { return o.worker == k.entry.ID })
-	k.born, k.start, k.fence, k.lease, k.count, k.acked, k.stale = w.now.UnixMilli(), w.now, 0, 0, 0, 0, 0
+	w.pendingCommands = slices.DeleteFunc(w.pendingCommands, func(o pendingCommand) bool { return o.worker == k.entry.ID })
+	k.incarnation, k.startedAt, k.fence, k.lease, k.endCount, k.ackedUpto, k.endsBeforeLeaseEnd = w.now.UnixMilli(), w.now, 0, 0, 0, 0, 0
 	k.ended = nil
 	clear(k.runs)
-	clear(k.highest)
+	clear(k.lastEndedRun)
 }
 
 // split cuts the leader off from the store and from some workers, and elects another one
@@ -127,12 +127,12 @@
 // settle ends all faults and waits for all jobs.
 func (w *world) settle(rt *rapid.T, jobs int) {
 	w.faults = faults{}
-	w.succeed = func(string, int) bool { return true }
+	w.succeeds = func(string, int) bool { return true }
 	w.heal()
 	for _, l := range w.leaders {
 		l.frozen = false
 	}
-	if w.leader().over {
+	if w.leader().deposed {
 		w.elect(false)
 	}
 	for i := 1; i <= jobs; i++ {
@@ -144,7 +144,7 @@
 	for i := 1; i <= jobs; i++ {
 		id := fmt.Sprintf("j%d", i)
 		if s := w.state(id); !s.Final() {
-			rt.Fatalf("job %s is %q 90 s after the last fault; runs on %v", id, s, w.where(id))
+			rt.Fatalf("job %s is %q 90 s after the last fault; runs on %v", id, s, w.runningOn(id))
 		}
 	}
 }
--- a/internal/orchestrator/orchestrator.go
+++ b/internal/orchestrator/orchestrator.go
@@ -11,28 +11,28 @@
 
 // Settings are the fixed parameters of an Orchestrator.
 type Settings struct {
-	Epoch       uint64    // store revision of the leader's election
-	ElectedAt   time.Time // when the election was known to have been won
-	ConfirmedAt time.Time // when it was sent
-	Lease       time.Duration
+	Epoch       uint64        // store revision of the leader's election
+	ElectedAt   time.Time     // when the leader learned that it had won the election
+	ConfirmedAt time.Time     // when the request that won the election was sent
+	Lease       time.Duration // of runs on workers
 	Authority   time.Duration // how long after a confirmation leases may last
-	MaxLease    time.Duration // workers shorten longer ones to it
-	Retention   time.Duration // of final states
-	FarFactor   float64       // slowdown of a task away from its data
+	MaxLease    time.Duration // workers shorten longer leases to this
+	Retention   time.Duration // how long the records of finished jobs are kept
+	FarFactor   float64       // slowdown of a task away from its data, or of a gang on several racks
 }
 
 const (
-	// clockDrift is how much slower than real time a worker's clock may run, from the
+	// clockDrift is the share by which a worker's clock may run slower than real time, by the
 	// platform's description of its workers.
 	clockDrift = 0.02
-	// leaseSlack covers rounding to milliseconds and the delay of timers.
+	// leaseSlack covers the rounding of leases to milliseconds and the delay of timers.
 	leaseSlack = 100 * time.Millisecond
-	// minLease is the shortest lease that is worth a start.
+	// minLease is the shortest lease with which a run is started or its lease extended.
 	minLease = 500 * time.Millisecond
-	// runMargin is added to the run numbers of an earlier leader's records, which may
-	// miss its last starts. A task has at most a few starts between two records.
-	runMargin = 32
-	// defaultAttempts is used if the configuration names none.
+	// runNumberMargin is added to the run numbers from an earlier leader's records, which may
+	// lack its last starts. A task has at most a few starts between two records.
+	runNumberMargin = 32
+	// defaultAttempts is the number of attempts if the configuration sets none.
 	defaultAttempts = 3
 )
 
@@ -42,128 +42,130 @@
 	now      time.Time
 	actions  []Action
 
-	jobs     map[string]*job
-	finished map[string]finishedJob
-	ready    map[*step]bool // steps with tasks that could start
-	workers  map[string]*worker
-	order    []*worker         // all workers by ID; nil: to be sorted again
-	shapes   map[string]*shape // by queue
-	pressure pressure
-
-	inherited     bool // Inherited has been applied
-	handedOff     bool
-	confirmedAt   time.Time
-	learntAt      time.Time // when the experience was last handed out for a write
-	rosterVersion uint64
-	rosterWritten uint64
-	dirty         map[string]*job
-	expired       []string // finished jobs whose records are to be deleted
-	scarce        bool     // little is left beyond the reserve for short jobs
-	spare         bool     // less than spareShare of the workers' processors is taken
-	passDue       bool     // something changed that may let a task start
-	loadNoted     time.Time
-	lastPass      time.Time
-	firstRated    int // where the next choice among many workers begins
-	deposed       bool
-	leaving       bool
-	wallOffset    time.Duration
-}
-
-// finishedJob is a job in a final state that stands in the store.
+	jobs          map[string]*job
+	finished      map[string]finishedJob
+	ready         map[*step]bool // steps with tasks that could start
+	workers       map[string]*worker
+	sortedWorkers []*worker              // all workers, sorted by ID; nil: to be sorted again
+	queueStats    map[string]*queueStats // by queue
+	interference  interferenceModel
+
+	inherited      bool            // Inherited has been applied
+	handedOff      bool            // the earlier leader handed over cleanly
+	confirmedAt    time.Time       // when it was last certain that no other leader had been elected
+	experienceAt   time.Time       // when NextBatch last returned the experience
+	rosterVersion  uint64          // of the last change
+	rosterWritten  uint64          // version that is in the store
+	dirty          map[string]*job // jobs with unwritten changes, by ID
+	expired        []string        // finished jobs whose records are to be deleted
+	capacityScarce bool            // only the reserve for short jobs is left
+	lightlyLoaded  bool            // less than lightLoadShare of the workers' processors is used
+	passDue        bool            // a change may let a task start
+	loadNotedAt    time.Time
+	lastPassAt     time.Time
+	scoreOffset    int           // worker at which the next scoring of some of many workers begins
+	deposed        bool          // a later leader exists
+	leaving        bool          // this leader hands over
+	wallOffset     time.Duration // as in Tick
+}
+
+// finishedJob is a job whose final state is in the store.
 type finishedJob struct {
 	queue string
 	state State
 	at    time.Time
 }
 
-// shape is what was learnt of a queue's tasks.
-type shape struct {
-	ratio    float64 // of measured run times to estimates, moving average
-	variance float64 // of the logarithm of run times within a step, moving average
+// queueStats holds statistics of the run times of a queue's tasks.
+type queueStats struct {
+	runTimeRatio    float64 // moving average of the ratio of measured run times to estimates
+	runTimeVariance float64 // moving average of the variance of the logarithm of run times within a step
 }
 
+// job is a job that has not finished, or whose final state is not in the store yet.
 type job struct {
 	Job
-	inherited   bool // accepted before this leader's election
-	cancelled   bool
-	started     bool
-	state       State
-	finishedAt  time.Time
-	occurrences []*occurrence // begun and not finished
-	next        int           // the next occurrence to begin
-	finished    []int
-	deadline    time.Time // objective of a job without occurrences
-	runs        int       // runs of all tasks
-	idleSince   time.Time // when the last of them ended, or a step became ready
-
-	version uint64 // of the last change
-	written uint64 // version that stands in the store
-	changed time.Time
-}
-
+	inherited           bool // accepted before this leader's election
+	cancelled           bool
+	started             bool // a task of it has started
+	state               State
+	finishedAt          time.Time
+	occurrences         []*occurrence // begun and not finished
+	nextOccurrence      int           // the next occurrence to begin
+	finishedOccurrences []int
+	deadline            time.Time // of a job without occurrences
+	runCount            int       // present runs of all tasks
+	idleSince           time.Time // when the last run ended, or a step became ready without any run
+
+	version        uint64    // of the last change
+	writtenVersion uint64    // version that is in the store
+	changedAt      time.Time // of the oldest change that is not in the store
+}
+
+// occurrence is one execution of a job's steps. A job without a schedule has one.
 type occurrence struct {
-	job    *job
-	number int
-	due    time.Time
-	steps  []*step
-	left   int // steps with unfinished tasks
+	job             *job
+	number          int
+	due             time.Time
+	steps           []*step
+	unfinishedSteps int // steps with unfinished tasks
 
-	prospect   prospect // as of prospectAt
-	prospectAt time.Time
-	remaining  time.Duration // run time of the longest chain that is left
+	forecast         forecast // as of forecastAt; empty: none yet
+	forecastAt       time.Time
+	remainingRunTime time.Duration // expected run time of the longest remaining chain of steps, as of forecastAt
 }
 
 type step struct {
 	*Step
-	occurrence *occurrence
-	index      int
-	tasks      []*task
-	left       int // tasks that have not ended well
-	waits      int // earlier steps that have tasks left
-	rack       string
-	readyAt    time.Time
-	measured   time.Duration // mean run time of finished tasks
-	measures   int
-	noteAt     time.Time // when a reason for waiting was noted
-	advice     advice
+	occurrence             *occurrence
+	index                  int
+	tasks                  []*task
+	unfinished             int    // tasks that have not succeeded
+	unfinishedDependencies int    // steps in After with unfinished tasks
+	rack                   string // of the first task that started
+	readyAt                time.Time
+	meanRunTime            time.Duration // of the measured tasks
+	runTimeSamples         int           // measured tasks
+	waitNotedAt            time.Time     // when a reason for waiting was last noted
+	advice                 advice
 }
 
 type task struct {
-	step    *step
-	index   int
-	name    string
-	nextRun int
-	done    bool
-	failed  []int
-	saved   string
-	runs    []*run
-	lapsed  map[int]bool // runs that ended unseen with their worker's lease
-	moves   int
-	avoid   map[string]bool // workers on which a run failed
-	since   time.Time       // when the last run ended
-	// preemptFrom is when others may be stopped for its sake again.
-	preemptFrom time.Time
-
-	owned            bool     // this leader has seen or started a run of it
-	inheritedWorkers []string // where an earlier leader had placed it
+	step           *step
+	index          int
+	name           string
+	nextRun        int    // number of the next run
+	done           bool   // a run has succeeded
+	failed         []int  // numbers of the failed runs
+	saved          string // reference to the last checkpoint
+	runs           []*run
+	expiredRuns    map[int]bool    // runs whose lease or worker ended without a report
+	moves          int             // away from bad workers
+	avoidedWorkers map[string]bool // workers on which a run failed or was too slow
+	waitingSince   time.Time       // when the last run ended, or the step became ready
+	// nextPreemption is the earliest time at which other tasks may be stopped for this one.
+	nextPreemption time.Time
+
+	observed        bool     // this leader has started or adopted a run of it
+	recordedWorkers []string // workers of its runs in the record of an earlier leader
 }
 
 // New returns the state machine of a leader that has just been elected.
 func New(s Settings) *Orchestrator {
 	return &Orchestrator{
-		settings:    s,
-		confirmedAt: s.ConfirmedAt,
-		jobs:        make(map[string]*job),
-		finished:    make(map[string]finishedJob),
-		ready:       make(map[*step]bool),
-		workers:     make(map[string]*worker),
-		shapes:      make(map[string]*shape),
-		pressure:    newPressure(),
-		dirty:       make(map[string]*job),
+		settings:     s,
+		confirmedAt:  s.ConfirmedAt,
+		jobs:         make(map[string]*job),
+		finished:     make(map[string]finishedJob),
+		ready:        make(map[*step]bool),
+		workers:      make(map[string]*worker),
+		queueStats:   make(map[string]*queueStats),
+		interference: newInterferenceModel(),
+		dirty:        make(map[string]*job),
 	}
 }
 
-// Step applies an event and returns what must be done, in order.
+// Step applies an event and returns the actions that the caller must execute, in order.
 func (o *Orchestrator) Step(e Event, now time.Time) []Action {
 	o.now, o.actions = now, nil
 	switch e := e.(type) {
@@ -180,15 +182,15 @@
 	case WorkerUnlisted:
 		o.unlistWorker(e.ID)
 	case LookAnswered:
-		o.lookAnswered(e)
+		o.pollAnswered(e)
 	case LookFailed:
-		o.lookFailed(e)
+		o.pollFailed(e)
 	case StartAnswered:
 		o.startAnswered(e)
 	case StopAnswered:
 		o.stopAnswered(e)
 	case PaceAnswered:
-		o.paceAnswered(e)
+		o.throttleAnswered(e)
 	case Confirmed:
 		if e.SentAt.After(o.confirmedAt) {
 			o.confirmedAt = e.SentAt
@@ -206,14 +208,15 @@
 	if o.leaving {
 		return nil
 	}
-	if o.passDue && o.inherited && !o.deposed && o.now.Sub(o.lastPass) >= o.passPause() {
-		o.passDue, o.lastPass = false, o.now
+	if o.passDue && o.inherited && !o.deposed && o.now.Sub(o.lastPassAt) >= o.passPause() {
+		o.passDue, o.lastPassAt = false, o.now
 		o.schedule()
 	}
 	return o.actions
 }
 
-// handOver marks all jobs whose records do not name the workers of their runs.
+// handOver marks the records of all jobs with runs as changed, so that they are written with
+// the workers of the runs.
 func (o *Orchestrator) handOver() {
 	o.leaving = true
 	for _, w := range o.workers {
@@ -223,9 +226,9 @@
 	}
 }
 
-// KnowsRuns reports whether the records after a HandOver name the workers of all runs.
-// They do not while an earlier leader, which did not hand over, may have started tasks on
-// a worker that was not reached yet.
+// KnowsRuns reports whether the records after a HandOver name the workers of all runs. They
+// do not if an earlier leader, which did not hand over, may have started tasks on a worker
+// that has not answered this leader yet.
 func (o *Orchestrator) KnowsRuns() bool {
 	if !o.inherited {
 		return false
@@ -238,18 +241,20 @@
 	return true
 }
 
-func (o *Orchestrator) do(a Action) { o.actions = append(o.actions, a) }
+func (o *Orchestrator) emit(a Action) { o.actions = append(o.actions, a) }
 
+// stepDown ends the leadership because a later leader exists.
 func (o *Orchestrator) stepDown(reason string) {
 	if !o.deposed {
 		o.deposed = true
-		o.do(StepDown{Reason: reason})
+		o.emit(StepDown{Reason: reason})
 	}
 }
 
-// tick lets time pass: leases end, occurrences fall due, orders are repeated.
+// tick handles what depends on time: leases expire, occurrences become due, commands are
+// sent again.
 func (o *Orchestrator) tick() {
-	for _, w := range o.ordered() {
+	for _, w := range o.workersByID() {
 		o.tickWorker(w)
 	}
 	for _, j := range o.jobs {
@@ -257,27 +262,27 @@
 	}
 	o.expire()
 	o.passDue = true
-	if o.now.Sub(o.loadNoted) >= loadEvery {
-		o.loadNoted = o.now
+	if o.now.Sub(o.loadNotedAt) >= loadNoteInterval {
+		o.loadNotedAt = o.now
 		o.noteLoad()
 	}
 }
 
-// loadEvery is the interval of the line on the load of all workers.
-const loadEvery = time.Second
+// loadNoteInterval is the interval between two notes on the load of all workers.
+const loadNoteInterval = time.Second
 
-// noteLoad notes what the workers have and what waits.
+// noteLoad notes the capacity and the use of the usable workers and the size of the queue.
 func (o *Orchestrator) noteLoad() {
-	var cores, counted, serving, filling, unused, usable int
-	for _, w := range o.ordered() {
+	var cores, counted, latencyCritical, bestEffort, unused, usable int
+	for _, w := range o.workersByID() {
 		if ok, _ := o.usable(w); !ok {
 			continue
 		}
 		usable++
 		cores += w.Room.CPU
-		counted += w.used.CPU - w.load.serving
-		serving += w.load.serving
-		filling += w.load.filling
+		counted += w.used.CPU - w.load.latencyCritical
+		latencyCritical += w.load.latencyCritical
+		bestEffort += w.load.bestEffort
 		unused += max(0, w.unused())
 	}
 	waiting, cpu := 0, 0
@@ -289,19 +294,20 @@
 			}
 		}
 	}
-	o.do(Note{Event: EventLoad, Figures: fmt.Sprintf("Workers=%d Cores=%d Counted=%d Serving=%d Filling=%d Unused=%d Jobs=%d WaitingTasks=%d WaitingCores=%d",
-		usable, cores/1000, counted/1000, serving/1000, filling/1000, unused/1000, len(o.jobs), waiting, cpu/1000)})
+	o.emit(Note{Event: EventLoad, Figures: fmt.Sprintf("Workers=%d Cores=%d Counted=%d Serving=%d Filling=%d Unused=%d Jobs=%d WaitingTasks=%d WaitingCores=%d",
+		usable, cores/1000, counted/1000, latencyCritical/1000, bestEffort/1000, unused/1000, len(o.jobs), waiting, cpu/1000)})
 }
 
+// inherit takes over the state that an earlier leader left in the store.
 func (o *Orchestrator) inherit(e Inherited) {
 	o.inherited, o.handedOff, o.passDue = true, e.HandedOff, true
-	o.recall(e.Learnt)
+	o.restoreExperience(e.Learnt)
 	for _, r := range e.Finished {
 		o.finished[r.ID] = finishedJob{queue: r.Queue, state: r.State, at: r.FinishedAt}
 	}
 	for _, ij := range e.Jobs {
 		if ij.Record != nil && ij.Record.State.Final() || o.jobs[ij.Job.ID] != nil {
-			continue // the second: its notice came while the store was read
+			continue // finished, or known from a notice that came while the store was read
 		}
 		o.addJob(ij.Job, ij.Revision, ij.Record)
 		if ij.Cancelled {
@@ -315,63 +321,66 @@
 		w.rostered = true
 		if !w.idle {
 			w.inherited = true
-			w.expiry = o.settings.ElectedAt.Add(lapse(o.settings.Authority))
+			w.leasesEnd = o.settings.ElectedAt.Add(maxLeaseTime(o.settings.Authority))
 		}
 		if !w.watched && w.Address.IsValid() {
 			w.watched = true
-			o.do(WatchWorker{Worker: w.WorkerEntry})
+			o.emit(WatchWorker{Worker: w.WorkerEntry})
 		}
 	}
 }
 
+// accept adds a job whose acceptance is in the store.
 func (o *Orchestrator) accept(j Job, revision uint64) {
 	if _, ok := o.finished[j.ID]; ok || o.jobs[j.ID] != nil {
 		return
 	}
 	if j.Epoch > o.settings.Epoch {
-		o.stepDown("job " + j.ID + " was accepted under a newer leader")
+		o.stepDown("job " + j.ID + " was accepted by a later leader")
 		return
 	}
 	o.addJob(j, revision, nil)
 }
 
+// addJob adds a job, with the progress of its record unless that is nil.
 func (o *Orchestrator) addJob(spec Job, revision uint64, r *Record) {
 	j := &job{Job: spec, inherited: spec.Epoch < o.settings.Epoch, state: StateQueued}
 	o.jobs[j.ID] = j
-	j.deadline = j.Submitted.Add(time.Duration(max(1, j.Policy.Stretch)*float64(o.chain(j))) + j.Policy.TargetDuration)
+	j.deadline = j.Submitted.Add(time.Duration(max(1, j.Policy.Stretch)*float64(o.longestChain(j))) + j.Policy.TargetDuration)
 	if r != nil {
 		o.restore(j, r, o.now)
 		j.started = j.state == StateRunning || len(r.Done) > 0 || len(r.Tasks) > 0 || len(r.Finished) > 0
 	}
 	o.beginOccurrences(j)
 	for _, oc := range slices.Clone(j.occurrences) {
-		o.settle(oc)
+		o.recount(oc)
 	}
-	o.do(Note{Event: EventJobAdded, Job: j.ID, Queue: j.Policy.Queue, Outcome: string(j.state),
+	o.emit(Note{Event: EventJobAdded, Job: j.ID, Queue: j.Policy.Queue, Outcome: string(j.state),
 		Figures: fmt.Sprintf("Revision=%d Inherited=%t Steps=%d Deadline=%s", revision, j.inherited, len(j.Steps), j.deadline.Sub(o.now).Round(time.Millisecond))})
 }
 
-// chain returns the expected run time of the job's longest chain of steps. Each takes as
-// long as the longest of its tasks.
-func (o *Orchestrator) chain(j *job) time.Duration {
-	sh := o.shape(j.Policy.Queue)
+// longestChain returns the expected run time of the job's longest chain of steps. Each step
+// takes as long as the longest of its tasks.
+func (o *Orchestrator) longestChain(j *job) time.Duration {
+	qs := o.stats(j.Policy.Queue)
 	ends := make([]time.Duration, len(j.Steps))
 	var longest time.Duration
 	for i, s := range j.Steps {
 		for _, a := range s.After {
 			ends[i] = max(ends[i], ends[a])
 		}
-		ends[i] += time.Duration(sh.ratio * sh.longest(s.Count) * float64(s.Estimate))
+		ends[i] += time.Duration(qs.runTimeRatio * qs.longestFactor(s.Count) * float64(s.Estimate))
 		longest = max(longest, ends[i])
 	}
 	return longest
 }
 
-func (o *Orchestrator) shape(queue string) *shape {
-	s := o.shapes[queue]
+// stats returns the statistics of a queue.
+func (o *Orchestrator) stats(queue string) *queueStats {
+	s := o.queueStats[queue]
 	if s == nil {
-		s = &shape{ratio: 1}
-		o.shapes[queue] = s
+		s = &queueStats{runTimeRatio: 1}
+		o.queueStats[queue] = s
 	}
 	return s
 }
@@ -381,14 +390,14 @@
 	if j.cancelled || j.state.Final() {
 		return
 	}
-	for j.next < max(1, j.Occurrences) {
-		if j.Occurrences > 0 && o.now.Add(o.wallOffset).Before(j.due(j.next)) {
+	for j.nextOccurrence < max(1, j.Occurrences) {
+		if j.Occurrences > 0 && o.now.Add(o.wallOffset).Before(j.due(j.nextOccurrence)) {
 			return
 		}
-		number := j.next
-		j.next++
-		if j.occurrence(number) == nil && !slices.Contains(j.finished, number) {
-			o.settle(o.addOccurrence(j, number, o.now))
+		number := j.nextOccurrence
+		j.nextOccurrence++
+		if j.occurrence(number) == nil && !slices.Contains(j.finishedOccurrences, number) {
+			o.recount(o.addOccurrence(j, number, o.now))
 		}
 	}
 }
@@ -415,9 +424,9 @@
 		s.tasks = make([]*task, s.Count)
 		for k := range s.tasks {
 			name := j.ID + "." + strconv.Itoa(number) + "." + strconv.Itoa(i) + "." + strconv.Itoa(k)
-			s.tasks[k] = &task{step: s, index: k, name: name, nextRun: 1, since: now}
+			s.tasks[k] = &task{step: s, index: k, name: name, nextRun: 1, waitingSince: now}
 			if j.inherited && !o.handedOff {
-				s.tasks[k].nextRun += runMargin
+				s.tasks[k].nextRun += runNumberMargin
 			}
 		}
 		oc.steps = append(oc.steps, s)
@@ -426,88 +435,90 @@
 	return oc
 }
 
-// settle recounts what is left of an occurrence and which steps may start.
-func (o *Orchestrator) settle(oc *occurrence) {
-	oc.left = 0
+// recount recounts the unfinished tasks and steps of an occurrence and updates which steps
+// are ready.
+func (o *Orchestrator) recount(oc *occurrence) {
+	oc.unfinishedSteps = 0
 	for _, s := range oc.steps {
-		s.left = 0
+		s.unfinished = 0
 		for _, t := range s.tasks {
 			if !t.done {
-				s.left++
+				s.unfinished++
 			}
 		}
-		if s.left > 0 {
-			oc.left++
+		if s.unfinished > 0 {
+			oc.unfinishedSteps++
 		}
 	}
 	for _, s := range oc.steps {
-		s.waits = 0
+		s.unfinishedDependencies = 0
 		for _, a := range s.After {
-			if oc.steps[a].left > 0 {
-				s.waits++
+			if oc.steps[a].unfinished > 0 {
+				s.unfinishedDependencies++
 			}
 		}
-		o.offer(s)
+		o.updateReady(s)
 	}
 	o.finishOccurrence(oc)
 }
 
-// offer makes a step known to the scheduling pass if its tasks may start.
-func (o *Orchestrator) offer(s *step) {
+// updateReady adds a step to the ready steps if its tasks may start, and removes it otherwise.
+func (o *Orchestrator) updateReady(s *step) {
 	j := s.occurrence.job
-	if s.left == 0 || s.waits > 0 || j.cancelled || j.state.Final() {
+	if s.unfinished == 0 || s.unfinishedDependencies > 0 || j.cancelled || j.state.Final() {
 		delete(o.ready, s)
 		return
 	}
 	if !o.ready[s] {
 		o.ready[s] = true
 		s.readyAt = o.now
-		if j.runs == 0 {
+		if j.runCount == 0 {
 			j.idleSince = o.now
 		}
 		for _, t := range s.tasks {
-			t.since = o.now
+			t.waitingSince = o.now
 		}
 	}
 	o.passDue = true
 }
 
-// taskDone records that a task has ended well.
+// taskDone records that a task has succeeded, and makes steps ready that depended on it.
 func (o *Orchestrator) taskDone(t *task) {
 	if t.done {
 		return
 	}
 	t.done = true
 	s, oc := t.step, t.step.occurrence
-	s.left--
-	if s.left > 0 {
+	s.unfinished--
+	if s.unfinished > 0 {
 		return
 	}
 	delete(o.ready, s)
-	oc.left--
+	oc.unfinishedSteps--
 	for _, l := range oc.steps {
 		if slices.Contains(l.After, s.index) {
-			l.waits--
-			o.offer(l)
+			l.unfinishedDependencies--
+			o.updateReady(l)
 		}
 	}
 	o.finishOccurrence(oc)
 }
 
+// finishOccurrence ends an occurrence without unfinished steps, and its job if it is the last.
 func (o *Orchestrator) finishOccurrence(oc *occurrence) {
 	j := oc.job
-	if oc.left > 0 || j.state.Final() {
+	if oc.unfinishedSteps > 0 || j.state.Final() {
 		return
 	}
-	j.finished = append(j.finished, oc.number)
+	j.finishedOccurrences = append(j.finishedOccurrences, oc.number)
 	j.occurrences = slices.DeleteFunc(j.occurrences, func(k *occurrence) bool { return k == oc })
 	o.change(j)
-	if len(j.finished) >= max(1, j.Occurrences) {
+	if len(j.finishedOccurrences) >= max(1, j.Occurrences) {
 		o.finish(j, StateSucceeded, "every task has ended well")
 	}
 }
 
-// finish moves a job to a final state, which callers see once it stands in the store.
+// finish moves a job to a final state, which callers see once it is in the store.
 func (o *Orchestrator) finish(j *job, s State, reason string) {
 	if j.state.Final() {
 		return
@@ -522,9 +533,9 @@
 			}
 		}
 	}
-	o.do(Note{Event: EventJobFinished, Job: j.ID, Queue: j.Policy.Queue, Outcome: string(s), Reason: reason, Age: o.now.Sub(j.Submitted),
+	o.emit(Note{Event: EventJobFinished, Job: j.ID, Queue: j.Policy.Queue, Outcome: string(s), Reason: reason, Age: o.now.Sub(j.Submitted),
 		Figures: fmt.Sprintf("Late=%t", o.now.After(j.deadline))})
-	o.do(WriteSoon{})
+	o.emit(WriteSoon{})
 }
 
 func (o *Orchestrator) cancel(id string) {
@@ -536,16 +547,17 @@
 	o.finish(j, StateCancelled, "cancelled by a caller")
 }
 
-// change marks a job's record as out of date.
+// change marks a job's record in the store as out of date.
 func (o *Orchestrator) change(j *job) {
-	if j.version == j.written {
-		j.changed = o.now
+	if j.version == j.writtenVersion {
+		j.changedAt = o.now
 	}
 	j.version++
 	o.dirty[j.ID] = j
 }
 
-// expire drops final states that nobody asks for any more.
+// expire removes finished jobs after their retention, and requests the deletion of their
+// records.
 func (o *Orchestrator) expire() {
 	for id, f := range o.finished {
 		if o.now.Sub(f.at) > o.settings.Retention {
@@ -555,8 +567,8 @@
 	}
 }
 
-// State returns a job's state as callers may see it: a final state only once it stands
-// in the store.
+// State returns a job's state as callers may see it: a final state only once it is in the
+// store.
 func (o *Orchestrator) State(id string) (State, bool) {
 	if f, ok := o.finished[id]; ok {
 		return f.state, true
@@ -573,7 +585,7 @@
 	return StateRunning, true
 }
 
-// Pending returns for each queue the accepted jobs of which no task has started.
+// Pending returns for each queue the number of accepted jobs without a started task.
 func (o *Orchestrator) Pending() map[string]int {
 	pending := make(map[string]int)
 	for _, j := range o.jobs {
@@ -584,8 +596,8 @@
 	return pending
 }
 
-// find returns the task that a worker names.
-func (o *Orchestrator) find(name string) *task {
+// findTask returns the task with a name, nil if its job has finished or is unknown.
+func (o *Orchestrator) findTask(name string) *task {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 {
 		return nil
@@ -594,7 +606,7 @@
 	number, err1 := strconv.Atoi(parts[1])
 	index, err2 := strconv.Atoi(parts[2])
 	k, err3 := strconv.Atoi(parts[3])
-	if j == nil || cmp.Or(err1, err2, err3) != nil || j.state.Final() || slices.Contains(j.finished, number) {
+	if j == nil || cmp.Or(err1, err2, err3) != nil || j.state.Final() || slices.Contains(j.finishedOccurrences, number) {
 		return nil
 	}
 	s := j.stepAt(o, number, index, o.now)
@@ -604,15 +616,15 @@
 	return s.tasks[k]
 }
 
-// jobOf returns the job's ID in a task's name.
-func jobOf(name string) string {
+// jobID returns the ID of the job in a task's name.
+func jobID(name string) string {
 	id, _, _ := strings.Cut(name, ".")
 	return id
 }
 
 func (t *task) job() *job { return t.step.occurrence.job }
 
-// attempts is how many failed runs fail the task's job.
+// attempts returns the number of failed runs of the task that fail its job.
 func (t *task) attempts() int {
 	if a := t.job().Policy.Attempts; a > 0 {
 		return a
--- a/internal/orchestrator/overload_test.go
+++ b/internal/orchestrator/overload_test.go
@@ -11,8 +11,8 @@
 	"peridotpitch/internal/orchestrator"
 )
 
-// timely returns how many of the jobs whose IDs start with prefix succeeded within limit.
-func (w *world) timely(prefix string, limit time.Duration) int {
+// finishedWithin returns how many of the jobs whose IDs start with prefix succeeded within limit.
+func (w *world) finishedWithin(prefix string, limit time.Duration) int {
 	n := 0
 	for _, e := range w.notes {
 		if e.Event == orchestrator.EventJobFinished && strings.HasPrefix(e.Job, prefix) && e.Outcome == string(orchestrator.StateSucceeded) && e.Age <= limit {
@@ -25,13 +25,13 @@
 // Pattern: batch jobs of equal size come twice as fast as the workers can serve them, for
 // many times their objective. Guards against ordering by deadline alone, with which every
 // job gets some room, all of them end just after their objective, and nearly none counts.
-func TestLastingOverloadFinishesWhatItBegan(t *testing.T) {
+func TestSustainedOverloadFinishesStartedJobs(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 4, cores(8, 64))
 	const seconds = 30
 	for i := range 2 * seconds {
 		// 16 tasks of one second for each job, and 16 run at a time: one job a second.
-		j := simple(fmt.Sprintf("b%02d", i), 8, cores(2, 2))
+		j := simpleJob(fmt.Sprintf("b%02d", i), 8, cores(2, 2))
 		j.Steps = append(j.Steps, orchestrator.Step{Count: 8, Size: cores(2, 2), Estimate: time.Second, After: []int{0}})
 		j.Policy = orchestrator.Policy{Queue: "batch", Service: "s", Attempts: 3, Priority: 2, Stretch: 2, TargetDuration: time.Second}
 		w.submit(j)
@@ -40,30 +40,30 @@
 	w.run(20 * time.Second)
 	// Steps of a job leave gaps that the next job fills, so that not all of the capacity
 	// of one job a second can end in time.
-	if n := w.timely("b", 5*time.Second); n < seconds*2/3 {
+	if n := w.finishedWithin("b", 5*time.Second); n < seconds*2/3 {
 		t.Errorf("%d jobs in time, want at least two thirds of the %d that there is room for", n, seconds)
 	}
 	for i := range 2 * seconds {
-		is.True(w.state(fmt.Sprintf("b%02d", i)).Final() || w.finished(fmt.Sprintf("b%02d", i)) < 0)
+		is.True(w.state(fmt.Sprintf("b%02d", i)).Final() || w.completionTime(fmt.Sprintf("b%02d", i)) < 0)
 	}
 }
 
 // Pattern: wide jobs of uneven tasks. Guards against objectives that are taken from the
 // mean task: a wide step takes as long as its longest task.
-func TestObjectiveAllowsForTheLongestTask(t *testing.T) {
+func TestDeadlineAllowsForLongestTask(t *testing.T) {
 	w := newCluster(t, 4, cores(16, 64))
 	n := 0
-	w.took = func(string, *fakeWorker) time.Duration {
+	w.runTime = func(string, *fakeWorker) time.Duration {
 		n++
 		return []time.Duration{600, 800, 1000, 1200, 1400, 1000}[n%6] * time.Millisecond
 	}
 	for i := range 40 {
-		w.submit(filler(fmt.Sprintf("b%02d", i), "calm", 16, cores(1, 1)))
+		w.submit(bestEffortJob(fmt.Sprintf("b%02d", i), "calm", 16, cores(1, 1)))
 		w.run(2 * time.Second)
 	}
-	w.submit(filler("wide", "calm", 32, cores(1, 1)))
-	w.submit(filler("narrow", "calm", 1, cores(1, 1)))
-	wide, narrow := w.objective("wide"), w.objective("narrow")
+	w.submit(bestEffortJob("wide", "calm", 32, cores(1, 1)))
+	w.submit(bestEffortJob("narrow", "calm", 1, cores(1, 1)))
+	wide, narrow := w.deadlineAfterSubmission("wide"), w.deadlineAfterSubmission("narrow")
 	// The longest of 32 of these tasks takes 1.4 times the mean.
 	if narrow < 2800*time.Millisecond || narrow > 3300*time.Millisecond {
 		t.Errorf("the objective of one task of about 1 s is %s, want about 3 s", narrow)
@@ -73,8 +73,8 @@
 	}
 }
 
-// objective returns what a leader takes as a job's time from submission to its objective.
-func (w *world) objective(id string) time.Duration {
+// deadlineAfterSubmission returns what a leader takes as a job's time from submission to its deadlineAfterSubmission.
+func (w *world) deadlineAfterSubmission(id string) time.Duration {
 	for _, e := range w.notes {
 		if e.Event == orchestrator.EventJobAdded && e.Job == id {
 			_, text, _ := strings.Cut(e.Figures, "Deadline=")
@@ -88,7 +88,7 @@
 
 // Pattern: one filler that disturbs a task with a latency target is slowed. Guards against
 // a worker that takes no other fillers meanwhile, though they disturb nobody there.
-func TestHarmlessFillerStartsBesideSlowedOne(t *testing.T) {
+func TestHarmlessTaskStartsBesideThrottledTask(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1)
 	w.addWorker("w0", cores(16, 64), "r0")
@@ -101,27 +101,27 @@
 		Images: []orchestrator.ImageExperience{{Image: "web", Idle: 0.22, Mean: 0.45}},
 	}})
 	w.run(time.Second)
-	w.submit(serving("s1", "web", 1, cores(8, 8)))
+	w.submit(latencyCriticalJob("s1", "web", 1, cores(8, 8)))
 	w.run(time.Second)
-	w.took = func(string, *fakeWorker) time.Duration { return time.Minute }
-	w.submit(filler("loud", "loud", 1, cores(3, 2)))
+	w.runTime = func(string, *fakeWorker) time.Duration { return time.Minute }
+	w.submit(bestEffortJob("loud", "loud", 1, cores(3, 2)))
 	for range 60 {
 		w.measureTails()
 		w.run(50 * time.Millisecond)
 	}
-	is.Equal(w.where("loud"), []string{"w0"})
-	is.True(w.paceOf("loud.0.0.0") < 100)
-	w.submit(filler("loud2", "loud", 1, cores(3, 2)))
-	w.submit(filler("calm", "calm", 1, cores(3, 2)))
+	is.Equal(w.runningOn("loud"), []string{"w0"})
+	is.True(w.speedOf("loud.0.0.0") < 100)
+	w.submit(bestEffortJob("loud2", "loud", 1, cores(3, 2)))
+	w.submit(bestEffortJob("calm", "calm", 1, cores(3, 2)))
 	w.run(200 * time.Millisecond)
-	is.Equal(w.where("calm"), []string{"w0"})
-	is.Equal(len(w.where("loud2")), 0)
+	is.Equal(w.runningOn("calm"), []string{"w0"})
+	is.Equal(len(w.runningOn("loud2")), 0)
 }
 
-func (w *world) paceOf(task string) int {
+func (w *world) speedOf(task string) int {
 	for _, k := range w.workers {
 		if r := k.runs[task]; r != nil {
-			return r.pace
+			return r.speed
 		}
 	}
 	return -1
@@ -129,90 +129,90 @@
 
 // Pattern: late batch jobs and room only beside tasks with a latency target. Guards against
 // late work that takes the margin of these tasks as timely work may.
-func TestLateFillersKeepAMargin(t *testing.T) {
+func TestLateBestEffortTaskKeepsHeadroom(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1, cores(16, 64))
-	w.submit(serving("s1", "web", 1, cores(9, 8)))
+	w.submit(latencyCriticalJob("s1", "web", 1, cores(9, 8)))
 	w.run(time.Second)
-	late := filler("late", "calm", 1, cores(5, 2))
+	late := bestEffortJob("late", "calm", 1, cores(5, 2))
 	late.Submitted = w.now.Add(-time.Minute)
 	w.submit(late)
 	w.run(300 * time.Millisecond)
-	is.Equal(len(w.where("late")), 0)
-	w.submit(filler("timely", "calm", 1, cores(5, 2)))
+	is.Equal(len(w.runningOn("late")), 0)
+	w.submit(bestEffortJob("timely", "calm", 1, cores(5, 2)))
 	w.run(300 * time.Millisecond)
-	is.Equal(w.where("timely"), []string{"w0"})
+	is.Equal(w.runningOn("timely"), []string{"w0"})
 }
 
 // Guards against a cancelled task that runs on because its worker has answered the stop
 // and not carried it out.
-func TestStopThatHadNoEffectIsRepeated(t *testing.T) {
+func TestStopWithoutEffectIsResent(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1, cores(8, 64))
 	k := w.workers["w0"]
-	w.submit(serving("s1", "web", 2, cores(2, 2)))
+	w.submit(latencyCriticalJob("s1", "web", 2, cores(2, 2)))
 	w.run(time.Second)
-	k.deaf = 2
+	k.ignoredStops = 2
 	w.cancel("s1")
 	w.run(time.Second)
-	is.Equal(w.where("s1"), []string{"w0", "w0"})
+	is.Equal(w.runningOn("s1"), []string{"w0", "w0"})
 	w.run(3 * time.Second)
-	is.Equal(len(w.where("s1")), 0)
+	is.Equal(len(w.runningOn("s1")), 0)
 }
 
 // Pattern: lasting tasks that lost their workers are larger than the gaps that short jobs
 // leave. Guards against short jobs that take each gap for as long as they come.
-func TestLargeLastingTaskGetsAGap(t *testing.T) {
+func TestLargeLongRunningTaskGetsReservedWorker(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 4, cores(8, 64))
 	n := 0
-	w.took = func(string, *fakeWorker) time.Duration {
+	w.runTime = func(string, *fakeWorker) time.Duration {
 		n++
 		return time.Duration(400+170*(n%5)) * time.Millisecond // gaps of one task at a time
 	}
 	for i := range 200 {
-		w.submit(simple(fmt.Sprintf("q%03d", i), 4, cores(3.5, 2)))
+		w.submit(simpleJob(fmt.Sprintf("q%03d", i), 4, cores(3.5, 2)))
 		if i == 20 {
-			j := serving("large", "web", 1, cores(6, 8))
+			j := latencyCriticalJob("large", "web", 1, cores(6, 8))
 			j.Policy = orchestrator.Policy{Queue: "lasting", Service: "s", Attempts: 3, Stretch: 2}
 			w.submit(j)
 		}
 		w.run(50 * time.Millisecond)
 	}
-	is.Equal(len(w.where("large")), 1) // after less than 9 s, while short jobs still wait
+	is.Equal(len(w.runningOn("large")), 1) // after less than 9 s, while short jobs still wait
 }
 
 // Pattern: a worker with lasting tasks fails other tasks for a while. Guards against a
 // worker that gets no work for as long as the lasting tasks run, because one task at a
 // time may run there, and against a lasting task that is tried first and never ends.
-func TestRecoveredWorkerGetsWorkBesideLastingTasks(t *testing.T) {
+func TestRecoveredWorkerGetsWorkBesideLongRunningTasks(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1, cores(16, 64))
 	k := w.workers["w0"]
-	w.submit(serving("s1", "web", 2, cores(2, 2)))
+	w.submit(latencyCriticalJob("s1", "web", 2, cores(2, 2)))
 	w.run(time.Second)
-	k.grey = true
+	k.failsTasks = true
 	for i := range 6 {
-		w.submit(simple(fmt.Sprintf("j%d", i), 1, cores(1, 1)))
+		w.submit(simpleJob(fmt.Sprintf("j%d", i), 1, cores(1, 1)))
 		w.run(200 * time.Millisecond)
 	}
 	w.run(time.Second) // their runs end as failed
-	k.grey = false
+	k.failsTasks = false
 	for i := range 6 {
 		w.cancel(fmt.Sprintf("j%d", i)) // none of them is left to be tried first
 	}
 	w.run(4 * time.Second)
-	w.submit(serving("s2", "web", 3, cores(2, 2)))
+	w.submit(latencyCriticalJob("s2", "web", 3, cores(2, 2)))
 	w.run(3 * time.Second)
-	is.Equal(len(w.where("s2")), 3)
-	w.submit(simple("k", 4, cores(1, 1)))
+	is.Equal(len(w.runningOn("s2")), 3)
+	w.submit(simpleJob("k", 4, cores(1, 1)))
 	w.run(100 * time.Millisecond)
-	is.Equal(len(w.where("k")), 4)
+	is.Equal(len(w.runningOn("k")), 4)
 }
 
 // Pattern: more workers than are rated for one task, and as many tasks as they have room
 // for. Guards against room that is not found because other workers are rated.
-func TestAllOfManyWorkersAreUsed(t *testing.T) {
+func TestAllWorkersAreUsedWhenSomeAreScored(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1)
 	const many = 700
@@ -221,14 +221,14 @@
 	}
 	w.elect(false)
 	w.run(time.Second)
-	w.took = func(string, *fakeWorker) time.Duration { return time.Minute }
+	w.runTime = func(string, *fakeWorker) time.Duration { return time.Minute }
 	for i := range many / 10 {
-		w.submit(simple(fmt.Sprintf("j%d", i), 10, cores(3, 2)))
+		w.submit(simpleJob(fmt.Sprintf("j%d", i), 10, cores(3, 2)))
 	}
 	w.run(2 * time.Second)
 	used := 0
 	for i := range many / 10 {
-		used += len(w.where(fmt.Sprintf("j%d", i)))
+		used += len(w.runningOn(fmt.Sprintf("j%d", i)))
 	}
 	is.Equal(used, many)
 }
--- a/internal/orchestrator/place.go
+++ b/internal/orchestrator/place.go
@@ -8,68 +8,74 @@
 )
 
 const (
-	// nearWait is how long a task waits for the rack of its data before it runs
+	// rackWaitShare is how long a task waits for the rack of its data before it runs
 	// elsewhere, as a share of its expected run time.
-	nearWait = 0.5
-	// servingShare is the part of its processors that a task with a latency target
-	// uses on average; the rest is left to tasks that fill.
-	servingShare = 0.45
-	// fillShare is the part of its declared processors that must be unused on a worker
-	// before a task that fills starts there.
-	fillShare = 0.7
-	// starveAfter is how long a job that fills may have nothing running. The platform
-	// takes a job as lost after 3 s.
-	starveAfter = 2 * time.Second
-	// lastingWait is how long a long-running task may be away before it goes before
-	// others and takes the last room. While workers are missing, short jobs that would be
-	// late are worth more than seconds of its work; the platform takes a task as lost
-	// after 7 s.
-	lastingWait = 4500 * time.Millisecond
-	// reserve is the share of the processors that is kept for short jobs meanwhile.
-	reserve = 0.08
-	// noteEvery bounds how often a step's reason for waiting is noted.
-	noteEvery = 2 * time.Second
-	// passEvery is the pause between two passes. Answers of workers come in faster.
-	passEvery = 15 * time.Millisecond
-	// passPerStep lengthens the pause with the queue: passes are to take at most a few
-	// hundredths of a core.
-	passPerStep = 100 * time.Microsecond
-	// maxRated bounds the workers that are rated for one task. With 2,700 workers a rating of
-	// all took milliseconds for each start; the best of 300 is nearly as good.
-	maxRated = 300
-	// passLimit bounds the starts of one pass, so that a burst does not delay looks.
-	passLimit = 160
+	rackWaitShare = 0.5
+	// latencyCriticalUseShare is the share of its declared processors that a latency-critical
+	// task uses on average; the rest is left to best-effort tasks.
+	latencyCriticalUseShare = 0.45
+	// bestEffortUnusedShare is the share of a best-effort task's declared processors that must
+	// be unused on a worker before the task starts there.
+	bestEffortUnusedShare = 0.7
+	// starvationTimeout is how long a best-effort job may have nothing running before one of
+	// its tasks starts even where it is slowed. The platform counts a job as lost after 3 s.
+	starvationTimeout = 2 * time.Second
+	// longRunningMaxWait is how long a long-running task may be without a run before it goes
+	// ahead of others and may take the reserve for short jobs. While workers are missing,
+	// short jobs that would be late are worth more than seconds of its work. The platform
+	// counts a task as lost after 7 s.
+	longRunningMaxWait = 4500 * time.Millisecond
+	// shortJobReserveShare is the share of the processors that is kept for short jobs until a
+	// long-running task has waited for longRunningMaxWait.
+	shortJobReserveShare = 0.08
+	// waitNoteInterval is the shortest time between two notes on why a step waits.
+	waitNoteInterval = 2 * time.Second
+	// passInterval is the pause between two scheduling passes. Answers of workers arrive more
+	// often than that.
+	passInterval = 15 * time.Millisecond
+	// passIntervalPerStep lengthens the pause for each step in the queue, so that passes take
+	// at most a few hundredths of a core.
+	passIntervalPerStep = 100 * time.Microsecond
+	// maxScoredWorkers bounds the workers that are scored for one task. Scoring all of 2,700
+	// workers takes milliseconds for each start, and the best of 300 is nearly as good.
+	maxScoredWorkers = 300
+	// maxStartsPerPass bounds the starts of one pass, so that a burst does not delay polls of
+	// workers.
+	maxStartsPerPass = 160
 )
 
-// Weights of a worker's score. Free room counts from 0 to 1.
+// Weights of the terms of a worker's score. The term for unused processors lies between 0
+// and 1 and has the weight 1.
 const (
-	weightNear     = 2.0 // rack of the data, or of the step's other tasks
-	weightFailedOn = 5.0 // an earlier run of the task failed there
-	weightSlow     = 0.7 // for each multiple of the expected run time
-	weightWarmup   = 0.3
-	weightReserve  = 0.2 // fillers that disturb nobody on workers without latency targets
-	weightImage    = 1.5 // other images with a latency target on the worker
-	weightBeside   = 4.0 // utilization that fillers add for tasks with a latency target
+	weightRack        = 2.0 // worker on the rack of the data or of the step's other tasks
+	weightAvoid       = 5.0 // an earlier run of the task failed or was too slow there
+	weightSlowdown    = 0.7 // for each multiple of the expected run time by which runs there take longer
+	weightWarmup      = 0.3
+	weightHarmless    = 0.2 // best-effort task that interferes with no image, on a worker without latency-critical tasks
+	weightOtherImages = 1.5 // for each other latency-critical image on the worker
+	weightHeadroom    = 4.0 // headroom left to best-effort tasks, and interference with a latency-critical task
 )
 
-// lateMargin is the utilization that must be left for tasks with a latency target beside
-// fillers whose jobs are late: they are worth less than the harm that they may do.
-const lateMargin = 0.03
+// lateMinHeadroom is the headroom that must remain on a worker after a best-effort task of a
+// late job has started there: such jobs are worth less than the missed latency targets that
+// they may cause.
+const lateMinHeadroom = 0.03
 
-// Prospects, the best first.
+// Forecasts. Steps are ordered by their text.
 const (
-	prospectTimely   prospect = "1 timely"   // it can meet its objective
-	prospectLate     prospect = "2 late"     // it can end within lateFactor times its objective
-	prospectHopeless prospect = "3 hopeless" // it must end all the same
+	forecastOnTime forecast = "1 timely"   // the job can meet its deadline
+	forecastLate   forecast = "2 late"     // the job can end within lateFactor times its time to the deadline
+	forecastMissed forecast = "3 hopeless" // the job must still be finished
 )
 
-// scheduleStep starts what it can of a step and returns the number of starts.
+// scheduleStep starts the step's waiting tasks for which a worker is found and returns the
+// number of starts.
 func (o *Orchestrator) scheduleStep(p *pass, s *step) int {
 	if s.Gang {
 		return o.scheduleGang(p, s)
 	}
-	plain := o.plain(s)
-	if plain && p.hopeless(s) {
+	bySizeOnly := o.placedBySizeOnly(s)
+	if bySizeOnly && p.knownFull(s) {
 		o.noteWait(s, "no worker has room")
 		return 0
 	}
@@ -79,7 +85,7 @@
 		if t.done || len(t.runs) > 0 {
 			continue
 		}
-		if reason := o.held(p, t); reason != "" {
+		if reason := o.blockedByUnreached(p, t); reason != "" {
 			o.noteWait(s, reason)
 			continue
 		}
@@ -92,11 +98,11 @@
 		}
 		w, score := o.choose(t, workers)
 		if w == nil {
-			if plain {
-				p.refused[s.occurrence.job.Policy.Service+"/"+s.Image] = s.Size
+			if bySizeOnly {
+				p.unplaced[s.occurrence.job.Policy.Service+"/"+s.Image] = s.Size
 			}
 			if !o.preempt(t, workers) {
-				o.noteWait(s, o.hold(t, workers))
+				o.noteWait(s, o.reserveWorker(t, workers))
 			}
 			return starts
 		}
@@ -106,43 +112,45 @@
 	return starts
 }
 
+// launch starts a task on a worker and notes the decision.
 func (o *Orchestrator) launch(t *task, w *worker, number int, score float64) {
 	s := t.step
 	if s.rack == "" {
 		s.rack = w.Rack
 	}
-	o.do(Note{Event: EventStart, Job: t.job().ID, Task: t.name, Run: number, Worker: w.ID, Age: o.silence(w),
-		Figures: fmt.Sprintf("Score=%.2f FreeCores=%.1f Waited=%s", score, float64(w.free().CPU)/1000, o.now.Sub(t.since).Round(time.Millisecond))})
-	pace := o.startPace(s, w)
-	o.try(s, w)
+	o.emit(Note{Event: EventStart, Job: t.job().ID, Task: t.name, Run: number, Worker: w.ID, Age: o.timeSinceAnswer(w),
+		Figures: fmt.Sprintf("Score=%.2f FreeCores=%.1f Waited=%s", score, float64(w.free().CPU)/1000, o.now.Sub(t.waitingSince).Round(time.Millisecond))})
+	speed := o.initialSpeed(s, w)
+	o.recordTrial(s, w)
 	r := o.start(t, w, number, s.advice.tickets[w.ID])
-	r.wish, r.slowed = pace, pace < 100
+	r.targetSpeed, r.throttled = speed, speed < 100
 	if w.probing {
 		w.probe = r
 	}
 }
 
-// held returns why a task can not start anywhere yet, empty if it can. An earlier
-// leader may have started an inherited task on a worker that was not reached yet.
-func (o *Orchestrator) held(p *pass, t *task) string {
+// blockedByUnreached returns why a task cannot start on any worker yet, empty if it can. An
+// earlier leader may have started an inherited task on a worker that has not answered this
+// leader yet.
+func (o *Orchestrator) blockedByUnreached(p *pass, t *task) string {
 	j := t.job()
-	if !j.inherited || t.owned {
+	if !j.inherited || t.observed {
 		return ""
 	}
 	for _, w := range p.unreached {
 		if w.Service != j.Policy.Service && w.Service != "" {
 			continue
 		}
-		if o.handedOff && !slices.Contains(t.inheritedWorkers, w.ID) {
+		if o.handedOff && !slices.Contains(t.recordedWorkers, w.ID) {
 			continue
 		}
-		return "worker " + w.ID + " was not reached yet and may run it"
+		return "worker " + w.ID + " has not answered this leader yet and may run the task"
 	}
 	return ""
 }
 
-// candidatesOf returns the candidates of a pass, which are the same for all steps of a
-// service with the same label.
+// candidatesOf returns a step's candidates, cached for the pass. They are the same for all
+// steps of a service with the same required label, unless the outside policy is asked.
 func (o *Orchestrator) candidatesOf(p *pass, s *step) ([]*worker, string) {
 	if s.occurrence.job.Policy.Advised {
 		return o.candidates(s)
@@ -161,12 +169,12 @@
 	j := s.occurrence.job
 	var ws []*worker
 	reason := "no worker of service " + j.Policy.Service + " is listed"
-	for _, w := range o.ordered() {
+	for _, w := range o.workersByID() {
 		if w.Service != j.Policy.Service {
 			continue
 		}
 		if s.RequiredLabel != "" && !slices.Contains(w.Labels, s.RequiredLabel) {
-			reason = "no worker with label " + s.RequiredLabel + " can be used"
+			reason = "no worker with label " + s.RequiredLabel + " is usable"
 			continue
 		}
 		if ok, why := o.usable(w); !ok {
@@ -181,9 +189,9 @@
 	return ws, reason
 }
 
-// sizeOn returns what a task must find free. The processors of tasks that fill do not
-// count.
-func (s *step) sizeOn() Resources {
+// countedSize returns the free capacity that a task of the step needs. The processors of
+// best-effort tasks do not count.
+func (s *step) countedSize() Resources {
 	size := s.Size
 	if s.Fills {
 		size.CPU = 0
@@ -191,103 +199,107 @@
 	return size
 }
 
-// choose returns the best of the workers for a task, or nil. Of many workers only some are
-// rated, unless the task has a rack to be near to; successive calls begin at different
-// workers.
+// choose returns the worker with the highest score for a task, nil if none fits, and the
+// score. At most maxScoredWorkers are scored, unless the step has a rack affinity or no
+// worker among them fits; successive calls begin at different workers.
 func (o *Orchestrator) choose(t *task, workers []*worker) (*worker, float64) {
 	limit := len(workers)
 	if t.step.RackAffinity == "" && !t.step.SameRack {
-		limit = maxRated
+		limit = maxScoredWorkers
 	}
 	var best *worker
-	var most float64
+	var bestScore float64
 	for i := range workers {
 		if i >= limit && best != nil {
 			break
 		}
-		w := workers[(o.firstRated+i)%len(workers)]
+		w := workers[(o.scoreOffset+i)%len(workers)]
 		if !o.fits(t, w) {
 			continue
 		}
-		if score := o.score(t, w); best == nil || score > most {
-			best, most = w, score
+		if score := o.scoreWorker(t, w); best == nil || score > bestScore {
+			best, bestScore = w, score
 		}
 	}
 	if len(workers) > limit {
-		o.firstRated += limit
+		o.scoreOffset += limit
 	}
-	return best, most
+	return best, bestScore
 }
 
-// fits reports whether a worker has room for a task.
+// fits reports whether a task may start on a worker now.
 func (o *Orchestrator) fits(t *task, w *worker) bool {
 	s := t.step
-	if o.now.Before(w.fullUntil) || w.probe != nil || w.heldFor != nil && w.heldFor != t && o.now.Before(w.heldUntil) {
+	if o.now.Before(w.noRoomUntil) || w.probe != nil || w.reservedFor != nil && w.reservedFor != t && o.now.Before(w.reservedUntil) {
 		return false
 	}
-	if !w.free().covers(s.sizeOn()) || w.atLimit(s) {
+	if !w.free().covers(s.countedSize()) || w.atLimit(s) {
 		return false
 	}
-	if s.LongRunning && o.scarce && o.now.Sub(t.since) < lastingWait {
+	if s.LongRunning && o.capacityScarce && o.now.Sub(t.waitingSince) < longRunningMaxWait {
 		return false
 	}
 	if s.RackAffinity != "" && w.Rack != s.RackAffinity {
-		wait := time.Duration(nearWait * float64(s.expected(o.shape(s.occurrence.job.Policy.Queue).ratio)))
-		if o.now.Sub(t.since) < wait && o.rackExists(s) {
+		wait := time.Duration(rackWaitShare * float64(s.expected(o.stats(s.occurrence.job.Policy.Queue).runTimeRatio)))
+		if o.now.Sub(t.waitingSince) < wait && o.rackExists(s) {
 			return false
 		}
 	}
-	return !s.Fills || o.fillsInto(t, w)
+	return !s.Fills || o.bestEffortFits(t, w)
 }
 
-// fillsInto reports whether a task that fills may start on a worker: where enough of the
-// processors is unused, and where no tail is predicted to come near its target.
-func (o *Orchestrator) fillsInto(t *task, w *worker) bool {
-	if o.spare && o.starves(t.job()) {
+// bestEffortFits reports whether a best-effort task may start on a worker: enough of the
+// processors must be unused, and no tail latency may be predicted to come near its target.
+func (o *Orchestrator) bestEffortFits(t *task, w *worker) bool {
+	if o.lightlyLoaded && o.starved(t.job()) {
 		return true
 	}
-	if w.unused() < int(fillShare*float64(t.step.Size.CPU)) {
-		return false // shared processors would make all their tasks late
+	if w.unused() < int(bestEffortUnusedShare*float64(t.step.Size.CPU)) {
+		return false // sharing processors would make all best-effort tasks there late
 	}
-	if w.load.serving == 0 || o.harmless(t.step, w) {
+	if w.load.latencyCritical == 0 || o.harmless(t.step, w) {
 		return true
 	}
-	// Slowed fillers are to run at full pace again: others would only join them.
-	if w.pace < 100 {
+	// Throttled best-effort tasks there must get back to full speed first; another task would
+	// only be throttled too.
+	if w.minSpeed < 100 {
 		return false
 	}
-	switch left := o.besides(t.step, w); {
+	switch left := o.headroomWith(t.step, w); {
 	case left < 0:
 		return false
-	case left >= lateMargin:
+	case left >= lateMinHeadroom:
 		return true
 	}
-	prospect, _ := o.outlast(t.step.occurrence)
-	return prospect == prospectTimely
+	f, _ := o.forecast(t.step.occurrence)
+	return f == forecastOnTime
 }
 
-// starves reports whether a job has had nothing running for so long that one of its tasks
-// must start even where it is slowed by others, if there is room at all.
-func (o *Orchestrator) starves(j *job) bool {
-	return j.runs == 0 && o.now.Sub(j.idleSince) > starveAfter
+// starved reports whether a job has had nothing running for so long that one of its tasks
+// must start even where other tasks slow it down.
+func (o *Orchestrator) starved(j *job) bool {
+	return j.runCount == 0 && o.now.Sub(j.idleSince) > starvationTimeout
 }
 
+// rackExists reports whether a reachable worker of the job's service is on the rack of the
+// step's data.
 func (o *Orchestrator) rackExists(s *step) bool {
-	for _, w := range o.ordered() {
-		if w.Rack == s.RackAffinity && w.Service == s.occurrence.job.Policy.Service && w.listed && !w.failing {
+	for _, w := range o.workersByID() {
+		if w.Rack == s.RackAffinity && w.Service == s.occurrence.job.Policy.Service && w.listed && !w.unreachable {
 			return true
 		}
 	}
 	return false
 }
 
-// unused returns the millicores that other tasks probably leave to one that fills.
+// unused returns the millicores that the tasks on a worker probably leave to a best-effort
+// task.
 func (w *worker) unused() int {
-	counted := w.used.CPU - w.load.serving
-	return w.Room.CPU - counted - int(servingShare*float64(w.load.serving)) - w.load.filling
+	counted := w.used.CPU - w.load.latencyCritical
+	return w.Room.CPU - counted - int(latencyCriticalUseShare*float64(w.load.latencyCritical)) - w.load.bestEffort
 }
 
-// free returns what no task holds of a worker.
+// free returns the worker's capacity that no task has reserved.
 func (w *worker) free() Resources { return w.Room.subtract(w.used) }
 
 // atLimit reports whether no more of the step's tasks may run on the worker.
@@ -306,28 +318,28 @@
 	return n
 }
 
-// score rates a worker for a task; the highest wins.
-func (o *Orchestrator) score(t *task, w *worker) float64 {
+// scoreWorker returns a worker's score for a task; the highest is chosen.
+func (o *Orchestrator) scoreWorker(t *task, w *worker) float64 {
 	s := t.step
-	room := float64(max(1, w.Room.CPU))
-	score := float64(w.unused()) / room
+	capacity := float64(max(1, w.Room.CPU))
+	score := float64(w.unused()) / capacity
 	switch {
-	case s.Fills && w.load.serving > 0:
-		score += weightBeside * o.besides(s, w)
+	case s.Fills && w.load.latencyCritical > 0:
+		score += weightHeadroom * o.headroomWith(s, w)
 	case s.Fills:
-		score += weightBeside*pressureBudget - weightReserve*(1-o.disturbs(s))
+		score += weightHeadroom*baseBudget - weightHarmless*(1-o.interferingShare(s))
 	case s.LatencyTarget > 0:
-		// Packed on few workers, so that others are left to fillers that disturb.
-		score = float64(w.used.CPU)/room - weightBeside*o.endures(s, w) - weightImage*float64(o.strangers(s, w))
+		// Packed on few workers, so that others are left to best-effort tasks that interfere.
+		score = float64(w.used.CPU)/capacity - weightHeadroom*o.interferenceOn(s, w) - weightOtherImages*float64(o.otherImages(s, w))
 	}
 	if s.RackAffinity != "" && s.RackAffinity == w.Rack || s.SameRack && s.rack == w.Rack {
-		score += weightNear
+		score += weightRack
 	}
-	if t.avoid[w.ID] {
-		score -= weightFailedOn
+	if t.avoidedWorkers[w.ID] {
+		score -= weightAvoid
 	}
-	if w.slow > 1 {
-		score -= weightSlow * (w.slow - 1)
+	if w.slowdown > 1 {
+		score -= weightSlowdown * (w.slowdown - 1)
 	}
 	if w.Warmup > 0 {
 		score -= weightWarmup
@@ -335,27 +347,27 @@
 	return score
 }
 
-// strangers returns the number of other images with a latency target on a worker. A
-// filler must spare all images of a worker: the fewer each has, the more workers are left
-// for each filler.
-func (o *Orchestrator) strangers(s *step, w *worker) int {
+// otherImages returns the number of latency-critical images on a worker other than the
+// step's. A best-effort task must not interfere with any image of a worker: the fewer images
+// each worker has, the more workers are left for each best-effort task.
+func (o *Orchestrator) otherImages(s *step, w *worker) int {
 	n := 0
-	for _, k := range o.outlooks(w) {
-		if k.image != s.Image {
+	for _, h := range o.headrooms(w) {
+		if h.image != s.Image {
 			n++
 		}
 	}
 	return n
 }
 
-// scheduleGang starts all tasks of a gang or none.
+// scheduleGang starts all tasks of a gang or none, and returns the number of starts.
 func (o *Orchestrator) scheduleGang(p *pass, s *step) int {
 	number := 0
 	for _, t := range s.tasks {
 		if t.done || len(t.runs) > 0 {
 			return 0
 		}
-		if reason := o.held(p, t); reason != "" {
+		if reason := o.blockedByUnreached(p, t); reason != "" {
 			o.noteWait(s, reason)
 			return 0
 		}
@@ -368,7 +380,7 @@
 	}
 	plan := o.planGang(s, workers)
 	if plan == nil {
-		o.noteWait(s, "no set of workers has room for the whole gang")
+		o.noteWait(s, "no set of workers has enough free capacity for all tasks of the gang")
 		return 0
 	}
 	saved := ""
@@ -383,8 +395,8 @@
 	return len(s.tasks)
 }
 
-// planGang assigns workers to the members of a gang, on one rack where that is needed
-// and possible. It returns nil if there is no room.
+// planGang returns a worker for each member of a gang, on one rack if the step needs that
+// and it is possible. It returns nil if there is not enough free capacity.
 func (o *Orchestrator) planGang(s *step, workers []*worker) []*worker {
 	if s.SameRack {
 		racks := make(map[string][]*worker)
@@ -405,8 +417,8 @@
 	return o.planMembers(s, workers)
 }
 
-// rackWait returns how long a gang waits for room on one rack: as long as running on
-// several would take longer. It does not wait if no rack is large enough.
+// rackWait returns how long a gang waits for free capacity on one rack: as much as its run
+// time would grow on several racks, 0 if no rack is large enough.
 func (o *Orchestrator) rackWait(s *step, racks map[string][]*worker) time.Duration {
 	for _, ws := range racks {
 		fit := 0
@@ -421,18 +433,20 @@
 			fit += n
 		}
 		if fit >= s.Count {
-			return time.Duration((o.settings.FarFactor - 1) * float64(s.expected(o.shape(s.occurrence.job.Policy.Queue).ratio)))
+			return time.Duration((o.settings.FarFactor - 1) * float64(s.expected(o.stats(s.occurrence.job.Policy.Queue).runTimeRatio)))
 		}
 	}
 	return 0
 }
 
+// planMembers returns a worker for each member of a gang, nil if one finds none. The
+// members placed so far count as used while the next is placed.
 func (o *Orchestrator) planMembers(s *step, workers []*worker) []*worker {
 	taken := make(map[*worker]int, len(s.tasks))
 	defer func() {
 		for w, n := range taken {
 			for range n {
-				w.account(s.Step, -1)
+				w.addUsage(s.Step, -1)
 			}
 		}
 	}()
@@ -445,7 +459,7 @@
 		if w == nil {
 			return nil
 		}
-		w.account(s.Step, 1)
+		w.addUsage(s.Step, 1)
 		taken[w]++
 		plan = append(plan, w)
 	}
--- a/internal/orchestrator/preempt.go
+++ b/internal/orchestrator/preempt.go
@@ -7,38 +7,38 @@
 )
 
 const (
-	// preemptAfter is how long a task waits for room before tasks of lower priority make
-	// room for it. Most waits for a single task end sooner by themselves.
-	preemptAfter = 300 * time.Millisecond
-	// preemptEvery is the pause between two preemptions for one task: stops take up to a
-	// second.
-	preemptEvery = 1500 * time.Millisecond
-	// preemptRetry is the pause after a search that found nothing. It looks at all runs of
-	// all workers: one for each waiting task in each pass kept a leader of 350 workers busy
-	// for seconds.
-	preemptRetry = 500 * time.Millisecond
-	// Costs of stopping a run, in the order of preference.
-	costCheckpoint = 1.0 // its progress is saved
-	costLost       = 4.0 // for each whole run of work that is lost
+	// preemptMinWait is how long a task waits for capacity before tasks of lower priority are
+	// stopped for it. Most waits for the capacity of a single task end sooner by themselves.
+	preemptMinWait = 300 * time.Millisecond
+	// preemptInterval is the pause between two preemptions for one task, because stops take up
+	// to a second.
+	preemptInterval = 1500 * time.Millisecond
+	// preemptRetryInterval is the pause after a search for victims that found none. A search
+	// goes through all runs of all workers: one for each waiting task in each pass keeps a
+	// leader of 350 workers busy for seconds.
+	preemptRetryInterval = 500 * time.Millisecond
+	// Cost of stopping a run.
+	stopCostBase    = 1.0 // of any run, also one that has a checkpoint
+	stopCostLostRun = 4.0 // added for the work of a whole run, in proportion to the lost progress
 )
 
-// victims are the runs that must stop on a worker to make room.
+// victims are the runs that must be stopped on a worker to free capacity for a task.
 type victims struct {
 	worker *worker
 	runs   []*run
 	cost   float64
 }
 
-// preempt stops runs of lower priority where that makes room for a task at the least
-// cost. It reports whether it did.
+// preempt stops runs of lower priority on the worker where that frees enough capacity for a
+// task at the least cost. It reports whether it has stopped any.
 func (o *Orchestrator) preempt(t *task, workers []*worker) bool {
-	waited := o.now.Sub(t.since)
-	if t.step.Fills || waited < preemptAfter || t.step.LongRunning && o.scarce && waited < lastingWait || o.now.Before(t.preemptFrom) {
+	waited := o.now.Sub(t.waitingSince)
+	if t.step.Fills || waited < preemptMinWait || t.step.LongRunning && o.capacityScarce && waited < longRunningMaxWait || o.now.Before(t.nextPreemption) {
 		return false
 	}
 	var best *victims
 	for _, w := range workers {
-		if t.avoid[w.ID] || w.atLimit(t.step) {
+		if t.avoidedWorkers[w.ID] || w.atLimit(t.step) {
 			continue
 		}
 		if v := o.victimsOn(w, t); v != nil && (best == nil || v.cost < best.cost) {
@@ -46,30 +46,30 @@
 		}
 	}
 	if best == nil {
-		t.preemptFrom = o.now.Add(preemptRetry)
+		t.nextPreemption = o.now.Add(preemptRetryInterval)
 		return false
 	}
-	t.preemptFrom = o.now.Add(preemptEvery)
+	t.nextPreemption = o.now.Add(preemptInterval)
 	for _, r := range best.runs {
-		r.task.moves-- // not a sign of a bad place
-		o.stop(r, "makes room for task "+t.name+" of higher priority")
+		r.task.moves-- // a preemption does not count as a move away from a bad worker
+		o.stop(r, "preempted by task "+t.name+" of higher priority")
 	}
 	return true
 }
 
-// victimsOn returns the cheapest runs whose end makes room for a task on a worker, nil
-// if all of lower priority do not suffice.
+// victimsOn returns runs of lower priority on a worker whose stop frees enough capacity for a
+// task, the cheapest first, nil if all of them do not suffice.
 func (o *Orchestrator) victimsOn(w *worker, t *task) *victims {
 	free := w.free()
-	most := free // once all of lower priority have stopped
+	freeable := free // free capacity after all runs of lower priority have stopped
 	var lower []*run
 	for _, r := range w.runs {
 		if r.phase == phaseRunning && !r.task.step.LongRunning && !r.task.step.Gang && r.task.job().Policy.Priority > t.job().Policy.Priority {
 			lower = append(lower, r)
-			most = most.add(r.task.step.sizeOn())
+			freeable = freeable.add(r.task.step.countedSize())
 		}
 	}
-	if !most.covers(t.step.sizeOn()) {
+	if !freeable.covers(t.step.countedSize()) {
 		return nil
 	}
 	slices.SortFunc(lower, func(a, b *run) int {
@@ -77,23 +77,23 @@
 	})
 	v := &victims{worker: w}
 	for _, r := range lower {
-		if free.covers(t.step.sizeOn()) {
+		if free.covers(t.step.countedSize()) {
 			break
 		}
-		free = free.add(r.task.step.sizeOn())
+		free = free.add(r.task.step.countedSize())
 		v.runs = append(v.runs, r)
 		v.cost += r.stopCost()
 	}
-	if len(v.runs) == 0 || !free.covers(t.step.sizeOn()) {
+	if len(v.runs) == 0 || !free.covers(t.step.countedSize()) {
 		return nil
 	}
 	return v
 }
 
-// stopCost rates what is lost by stopping a run.
+// stopCost returns the cost of stopping a run: higher the more work is lost.
 func (r *run) stopCost() float64 {
 	if r.task.step.Checkpoints {
-		return costCheckpoint
+		return stopCostBase
 	}
-	return costCheckpoint + costLost*float64(r.percent)/100
+	return stopCostBase + stopCostLostRun*float64(r.progressPercent)/100
 }
--- a/internal/orchestrator/queue.go
+++ b/internal/orchestrator/queue.go
@@ -7,55 +7,56 @@
 	"time"
 )
 
-// pass is what one scheduling pass has found out.
+// pass is the state of one scheduling pass.
 type pass struct {
 	candidates map[string][]*worker // by service and label
-	reasons    map[string]string    // why there are none
-	refused    map[string]Resources // by service and image, the smallest filler without room
-	unreached  []*worker            // on which an earlier leader's runs may be
+	reasons    map[string]string    // by service and label: why there are no candidates
+	unplaced   map[string]Resources // by service and image: size of the last best-effort task that no worker could take
+	unreached  []*worker            // workers without an answer that may still run tasks of an earlier leader
 }
 
 // schedule starts tasks on workers, the most urgent first.
 func (o *Orchestrator) schedule() {
-	o.spare = o.spareRoom()
-	p := &pass{candidates: make(map[string][]*worker), reasons: make(map[string]string), refused: make(map[string]Resources)}
-	for _, w := range o.ordered() {
+	o.lightlyLoaded = o.updateLoadState()
+	p := &pass{candidates: make(map[string][]*worker), reasons: make(map[string]string), unplaced: make(map[string]Resources)}
+	for _, w := range o.workersByID() {
 		if w.inherited && !w.resolved && !w.idle {
 			p.unreached = append(p.unreached, w)
 		}
 	}
 	starts := 0
 	for _, u := range o.queue() {
-		if starts >= passLimit {
-			o.passDue = true // a later event goes on
+		if starts >= maxStartsPerPass {
+			o.passDue = true // the next pass continues
 			return
 		}
 		starts += o.scheduleStep(p, u.step)
 	}
 }
 
-// passPause returns the pause between two passes. A pass looks at all steps that wait.
+// passPause returns the pause between two passes. It grows with the queue, because a pass
+// goes through all waiting steps.
 func (o *Orchestrator) passPause() time.Duration {
-	return passEvery + time.Duration(len(o.ready))*passPerStep
+	return passInterval + time.Duration(len(o.ready))*passIntervalPerStep
 }
 
-// urgency is what decides a step's place in the queue.
+// urgency holds the values that decide a step's place in the queue.
 type urgency struct {
 	step      *step
 	priority  int
-	prospect  prospect
-	begun     bool // some of the job's work has been done or is being done
+	forecast  forecast
+	begun     bool // a task has succeeded, runs or has a checkpoint; false for long-running steps
 	remaining time.Duration
 	deadline  time.Time
 }
 
-// queue returns the steps with tasks that wait, the most urgent first.
+// queue returns the steps with waiting tasks, the most urgent first.
 func (o *Orchestrator) queue() []urgency {
 	us := make([]urgency, 0, len(o.ready))
 	for s := range o.ready {
 		if s.waiting() {
 			u := urgency{step: s, priority: s.occurrence.job.Policy.Priority, deadline: s.deadline()}
-			u.prospect, u.remaining = o.outlast(s.occurrence)
+			u.forecast, u.remaining = o.forecast(s.occurrence)
 			u.begun = !s.LongRunning && s.occurrence.begun()
 			us = append(us, u)
 		}
@@ -64,57 +65,60 @@
 	return us
 }
 
-// waiting reports whether a task of the step neither runs nor has ended well.
+// waiting reports whether a task of the step neither runs nor has succeeded.
 func (s *step) waiting() bool {
 	return slices.ContainsFunc(s.tasks, func(t *task) bool { return !t.done && len(t.runs) == 0 })
 }
 
-// plain reports whether only a filler's image and size decide where it can start, so that
-// a larger one of the image has no room where a smaller one has none.
-func (o *Orchestrator) plain(s *step) bool {
-	return s.Fills && !o.spare && s.RequiredLabel == "" && s.RackAffinity == "" && s.MaxPerWorker == 0 && !s.Gang && !s.occurrence.job.Policy.Advised
+// placedBySizeOnly reports whether only their service, image and size decide where the step's
+// best-effort tasks can start. If one of them fits nowhere, neither does a larger one of the
+// same service and image.
+func (o *Orchestrator) placedBySizeOnly(s *step) bool {
+	return s.Fills && !o.lightlyLoaded && s.RequiredLabel == "" && s.RackAffinity == "" && s.MaxPerWorker == 0 && !s.Gang && !s.occurrence.job.Policy.Advised
 }
 
-// hopeless reports whether an earlier step of the pass has shown that there is no room.
-func (p *pass) hopeless(s *step) bool {
-	least, ok := p.refused[s.occurrence.job.Policy.Service+"/"+s.Image]
-	return ok && s.Size.CPU >= least.CPU && s.Size.Memory >= least.Memory
+// knownFull reports whether a task of the same service and image that is no larger than the
+// step's has found no worker in this pass.
+func (p *pass) knownFull(s *step) bool {
+	size, ok := p.unplaced[s.occurrence.job.Policy.Service+"/"+s.Image]
+	return ok && s.Size.CPU >= size.CPU && s.Size.Memory >= size.Memory
 }
 
-// spareShare is the share of the processors below which room is spare. The platform says
-// that a job must run while less than half is in use. It counts other workers as usable
-// than the leader, so that the bound here is higher.
-const spareShare = 0.6
+// lightLoadShare is the share of the usable workers' processors below which the load is
+// light. The platform requires that a job runs while less than half is in use. It counts
+// other workers as usable than the leader does, so that the bound here is higher.
+const lightLoadShare = 0.6
 
-// spareRoom reports whether a job with nothing running must be started even where it is
-// slowed. It also notes whether room is scarce.
-func (o *Orchestrator) spareRoom() bool {
-	room, used := 0, 0
-	for _, w := range o.ordered() {
+// updateLoadState reports whether the load is light: a job with nothing running must then
+// start even where it is slowed. It also sets capacityScarce.
+func (o *Orchestrator) updateLoadState() bool {
+	capacity, used := 0, 0
+	for _, w := range o.workersByID() {
 		if ok, _ := o.usable(w); ok {
-			room += w.Room.CPU
+			capacity += w.Room.CPU
 			used += w.used.CPU
 		}
 	}
-	o.scarce = float64(used) > (1-reserve)*float64(room)
-	return float64(used) < spareShare*float64(room)
+	o.capacityScarce = float64(used) > (1-shortJobReserveShare)*float64(capacity)
+	return float64(used) < lightLoadShare*float64(capacity)
 }
 
-// prospect is what a job can still reach.
-type prospect string
+// forecast says whether a job is expected to meet its deadline.
+type forecast string
 
-// lateFactor is how many times its objective a job may take and still be of some use, by
-// the platform's accounts.
+// lateFactor is how many times its time to the deadline a job may take and still count in
+// part for the platform.
 const lateFactor = 3
 
-// usualDelay is how many times the run times of its longest chain a job takes: its tasks
-// wait for places, run slower beside others, and fail.
-const usualDelay = 1.75
+// unstartedDelayFactor is how many times the run time of its longest chain a job without any
+// run so far is expected to take: its tasks wait for capacity, run slower beside others, and
+// fail.
+const unstartedDelayFactor = 1.75
 
-// begun reports whether some of the occurrence's work has been done or is being done.
+// begun reports whether a task of the occurrence has succeeded, runs or has a checkpoint.
 func (oc *occurrence) begun() bool {
 	for _, s := range oc.steps {
-		if s.left < s.Count {
+		if s.unfinished < s.Count {
 			return true
 		}
 		for _, t := range s.tasks {
@@ -126,57 +130,57 @@
 	return false
 }
 
-// prospectEvery bounds the age of a prospect.
-const prospectEvery = 250 * time.Millisecond
+// forecastMaxAge bounds the age of a cached forecast.
+const forecastMaxAge = 250 * time.Millisecond
 
-// outlast returns an occurrence's prospect and the run time of its longest remaining
-// chain of steps.
-func (o *Orchestrator) outlast(oc *occurrence) (prospect, time.Duration) {
-	if oc.prospect != "" && o.now.Sub(oc.prospectAt) < prospectEvery {
-		return oc.prospect, oc.remaining
+// forecast returns an occurrence's forecast and the expected run time of its longest
+// remaining chain of steps.
+func (o *Orchestrator) forecast(oc *occurrence) (forecast, time.Duration) {
+	if oc.forecast != "" && o.now.Sub(oc.forecastAt) < forecastMaxAge {
+		return oc.forecast, oc.remainingRunTime
 	}
 	if oc.steps[0].LongRunning {
-		// Each moment that such a task is away counts: it never gets late.
-		return prospectTimely, 0
+		// All time without a run of such a task counts alike: it has no deadline to miss.
+		return forecastOnTime, 0
 	}
-	sh := o.shape(oc.job.Policy.Queue)
+	qs := o.stats(oc.job.Policy.Queue)
 	ends := make([]time.Duration, len(oc.steps))
-	oc.remaining = 0
+	oc.remainingRunTime = 0
 	for i, s := range oc.steps {
 		for _, a := range s.After {
 			ends[i] = max(ends[i], ends[a])
 		}
-		if s.left > 0 {
-			took := time.Duration(sh.longest(s.left) * float64(s.expected(sh.ratio)))
-			if s.left < s.Count {
-				took /= 2 // some of it has been done
+		if s.unfinished > 0 {
+			took := time.Duration(qs.longestFactor(s.unfinished) * float64(s.expected(qs.runTimeRatio)))
+			if s.unfinished < s.Count {
+				took /= 2 // some tasks have succeeded already
 			}
 			ends[i] += took
 		}
-		oc.remaining = max(oc.remaining, ends[i])
+		oc.remainingRunTime = max(oc.remainingRunTime, ends[i])
 	}
-	likely := oc.remaining
+	likely := oc.remainingRunTime
 	if !oc.begun() {
-		likely = time.Duration(usualDelay * float64(likely))
+		likely = time.Duration(unstartedDelayFactor * float64(likely))
 	}
 	end := o.now.Add(likely)
-	oc.prospectAt = o.now
+	oc.forecastAt = o.now
 	switch {
 	case !end.After(oc.deadline()):
-		oc.prospect = prospectTimely
+		oc.forecast = forecastOnTime
 	case !end.After(oc.due.Add(lateFactor * oc.deadline().Sub(oc.due))):
-		oc.prospect = prospectLate
+		oc.forecast = forecastLate
 	default:
-		oc.prospect = prospectHopeless
+		oc.forecast = forecastMissed
 	}
-	return oc.prospect, oc.remaining
+	return oc.forecast, oc.remainingRunTime
 }
 
-// compareUrgency orders steps: by priority, then by what their jobs can still reach.
-// Timely jobs go by their objective. Of the others, those that end soonest go first: many
-// jobs that are all begun would all end late.
+// compareUrgency orders steps by priority, then by the forecast of their jobs, then those of
+// begun jobs first. Jobs that are on time are ordered by deadline. Of the others, those with
+// the least remaining run time go first: if many jobs ran in turns, all would end late.
 func compareUrgency(a, b urgency) int {
-	if c := cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.prospect, b.prospect)); c != 0 {
+	if c := cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.forecast, b.forecast)); c != 0 {
 		return c
 	}
 	if a.begun != b.begun {
@@ -185,7 +189,7 @@
 		}
 		return 1
 	}
-	if a.prospect != prospectTimely {
+	if a.forecast != forecastOnTime {
 		if c := cmp.Compare(a.remaining, b.remaining); c != 0 {
 			return c
 		}
@@ -193,37 +197,40 @@
 	return cmp.Or(a.deadline.Compare(b.deadline), cmp.Compare(a.step.occurrence.job.ID, b.step.occurrence.job.ID), cmp.Compare(a.step.index, b.step.index))
 }
 
-// deadline returns when the step's tasks should have started or ended.
+// deadline returns when the step's tasks should have ended, or should have started again if
+// they are long-running.
 func (s *step) deadline() time.Time {
 	if !s.LongRunning {
 		return s.occurrence.deadline()
 	}
-	oldest := s.readyAt
+	latest := s.readyAt
 	for _, t := range s.tasks {
-		if len(t.runs) == 0 && t.since.After(oldest) {
-			oldest = t.since
+		if len(t.runs) == 0 && t.waitingSince.After(latest) {
+			latest = t.waitingSince
 		}
 	}
-	return oldest.Add(lastingWait)
+	return latest.Add(longRunningMaxWait)
 }
 
+// deadline returns the occurrence's deadline: as long after its due time as the job's
+// deadline is after its submission.
 func (oc *occurrence) deadline() time.Time {
 	return oc.job.deadline.Add(oc.due.Sub(oc.job.Submitted))
 }
 
-// noteWait notes why a step waits, once in noteEvery.
+// noteWait notes why a step waits, at most once in waitNoteInterval.
 func (o *Orchestrator) noteWait(s *step, reason string) {
-	if o.now.Sub(s.noteAt) < noteEvery {
+	if o.now.Sub(s.waitNotedAt) < waitNoteInterval {
 		return
 	}
-	s.noteAt = o.now
-	o.do(Note{Event: EventWait, Job: s.occurrence.job.ID, Task: fmt.Sprintf("%s.%d.%d", s.occurrence.job.ID, s.occurrence.number, s.index),
-		Reason: reason, Age: o.now.Sub(s.readyAt), Figures: fmt.Sprintf("Left=%d Ready=%d%s", s.left, len(o.ready), o.room(s))})
+	s.waitNotedAt = o.now
+	o.emit(Note{Event: EventWait, Job: s.occurrence.job.ID, Task: fmt.Sprintf("%s.%d.%d", s.occurrence.job.ID, s.occurrence.number, s.index),
+		Reason: reason, Age: o.now.Sub(s.readyAt), Figures: fmt.Sprintf("Left=%d Ready=%d%s", s.unfinished, len(o.ready), o.capacityFigures(s))})
 }
 
-// room returns for a step whose processors count what a task needs and what the usable
-// worker with the most unused processors has, as cores/GB.
-func (o *Orchestrator) room(s *step) string {
+// capacityFigures returns what a task of the step needs and what the candidate with the most
+// free processors has free, as cores/GB. It is empty for best-effort tasks.
+func (o *Orchestrator) capacityFigures(s *step) string {
 	if s.Fills {
 		return ""
 	}
--- a/internal/orchestrator/record.go
+++ b/internal/orchestrator/record.go
@@ -7,35 +7,35 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Record is the progress of a job as it stands in the store.
+// Record is the progress of a job, as kept in the store.
 type Record struct {
 	ID         string
 	Queue      string
 	State      State
-	FinishedAt time.Time // of a final state
-	Finished   []int     // occurrences whose tasks have all ended well
-	Done       []DoneSet // of the other occurrences
-	Tasks      []TaskRecord
+	FinishedAt time.Time    // of a final state
+	Finished   []int        // occurrences whose tasks have all succeeded
+	Done       []DoneSet    // succeeded tasks of the other occurrences
+	Tasks      []TaskRecord // other tasks of these that may have had a run
 }
 
-// DoneSet says which tasks of a step have ended well.
+// DoneSet is the set of tasks of a step that have succeeded.
 type DoneSet struct {
 	_msgpack   struct{} `msgpack:",as_array"` //nolint:unused // read by the encoder
 	Occurrence int
 	Step       int
-	Bits       []byte // bit i of byte i/8 stands for task i
+	Bits       []byte // task i is bit i%8 of byte i/8
 }
 
-// TaskRecord is what is known of a task that has not ended well.
+// TaskRecord is the state of a task that has not succeeded.
 type TaskRecord struct {
 	_msgpack   struct{} `msgpack:",as_array"` //nolint:unused // read by the encoder
 	Occurrence int
 	Step       int
 	Index      int
 	NextRun    int
-	Failed     []int // runs that failed
-	Saved      string
-	Workers    []string // where it may run
+	Failed     []int    // numbers of the failed runs
+	Saved      string   // reference to the last checkpoint
+	Workers    []string // workers that may run it
 }
 
 // EncodeRecord returns a record's value in the store.
@@ -50,13 +50,13 @@
 	return r, nil
 }
 
-// record returns the job's present progress.
+// record returns the job's current progress.
 func (j *job) record() Record {
 	r := Record{ID: j.ID, Queue: j.Policy.Queue, State: j.state, FinishedAt: j.finishedAt}
 	if j.state.Final() {
 		return r
 	}
-	r.Finished = j.finished
+	r.Finished = j.finishedOccurrences
 	for _, o := range j.occurrences {
 		for _, s := range o.steps {
 			r.Done, r.Tasks = s.appendRecords(r.Done, r.Tasks)
@@ -65,6 +65,7 @@
 	return r
 }
 
+// appendRecords appends the records of the step's tasks.
 func (s *step) appendRecords(done []DoneSet, tasks []TaskRecord) ([]DoneSet, []TaskRecord) {
 	var bits []byte
 	for i, t := range s.tasks {
@@ -82,8 +83,8 @@
 		for _, r := range t.runs {
 			tr.Workers = append(tr.Workers, r.worker.ID)
 		}
-		if !t.owned {
-			tr.Workers = t.inheritedWorkers // not reached yet by this leader either
+		if !t.observed {
+			tr.Workers = t.recordedWorkers // this leader has not found a run of it yet
 		}
 		tasks = append(tasks, tr)
 	}
@@ -100,7 +101,7 @@
 		return
 	}
 	for _, k := range r.Finished {
-		j.finished = append(j.finished, k)
+		j.finishedOccurrences = append(j.finishedOccurrences, k)
 	}
 	for _, d := range r.Done {
 		s := j.stepAt(o, d.Occurrence, d.Step, now)
@@ -119,14 +120,14 @@
 			continue
 		}
 		t := s.tasks[tr.Index]
-		t.nextRun += tr.NextRun - 1 // the present value is 1, or 1 + runMargin
+		t.nextRun += tr.NextRun - 1 // nextRun is 1 before, or 1 + runNumberMargin
 		t.failed, t.saved = tr.Failed, tr.Saved
-		t.inheritedWorkers = tr.Workers
+		t.recordedWorkers = tr.Workers
 	}
 }
 
-// stepAt returns a step of an occurrence, which is created if it is due, and nil if the
-// record names one that the job does not have.
+// stepAt returns a step of an occurrence, which is added if it is missing, and nil if the job
+// has no such step or occurrence.
 func (j *job) stepAt(o *Orchestrator, number, index int, now time.Time) *step {
 	if index < 0 || index >= len(j.Steps) || number < 0 || number >= max(1, j.Occurrences) {
 		return nil
@@ -144,10 +145,10 @@
 	ID       string
 	Service  string
 	Address  string
-	Idle     bool // nothing that any leader started can run there
+	Idle     bool // no run that any leader started can be there
 }
 
-// Roster lists the workers that a new leader must reach, or wait for.
+// Roster lists the workers that a new leader must poll, or whose leases it must wait for.
 type Roster struct{ Workers []RosterEntry }
 
 // EncodeRoster returns a roster's value in the store.
@@ -162,32 +163,33 @@
 	return r, nil
 }
 
-// Experience is what a leader has learnt of images. It saves its successor from learning
-// it at the expense of tasks with a latency target.
+// Experience holds the measured statistics of images and queues. A successor that had to
+// measure them anew would cause latency-critical tasks to miss their targets meanwhile.
 type Experience struct {
 	Pairs  []PairExperience
 	Images []ImageExperience
-	Ratios map[string]float64 // of measured run times to estimates, by queue
-	// Variances are those of the logarithm of run times within a step, by queue.
+	Ratios map[string]float64 // ratio of measured run times to estimates, by queue
+	// Variances holds the variance of the logarithm of run times within a step, by queue.
 	Variances map[string]float64
 }
 
-// PairExperience is how a filler's image disturbs one with a latency target.
+// PairExperience is the measured interference of a best-effort image with a latency-critical
+// image.
 type PairExperience struct {
 	_msgpack    struct{} `msgpack:",as_array"` //nolint:unused // read by the encoder
-	Serving     string
-	Filler      string
+	Serving     string   // latency-critical image
+	Filler      string   // best-effort image
 	Coefficient float64
 	Samples     int
 	Variance    float64 // of the coefficient
 }
 
-// ImageExperience is what is known of an image with a latency target.
+// ImageExperience holds the measured statistics of a latency-critical image.
 type ImageExperience struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the encoder
 	Image    string
-	Idle     float64 // lowest tail as a share of the target
-	Mean     float64 // mean own utilization
+	Idle     float64 // lowest tail latency as a share of the target
+	Mean     float64 // mean utilization that the tasks' own callers cause
 }
 
 // EncodeExperience returns an experience's value in the store.
@@ -202,35 +204,35 @@
 	return e, nil
 }
 
-// experience returns what this leader knows.
+// experience returns the statistics of this leader.
 func (o *Orchestrator) experience() *Experience {
 	e := &Experience{Ratios: make(map[string]float64), Variances: make(map[string]float64)}
-	for serving, fillers := range o.pressure.reactions {
-		for filler, r := range fillers {
-			if r.samples > 0 {
-				e.Pairs = append(e.Pairs, PairExperience{Serving: serving, Filler: filler, Coefficient: r.coefficient, Samples: r.samples, Variance: r.covariance[filler]})
+	for critical, pairs := range o.interference.pairs {
+		for bestEffort, p := range pairs {
+			if p.samples > 0 {
+				e.Pairs = append(e.Pairs, PairExperience{Serving: critical, Filler: bestEffort, Coefficient: p.coefficient, Samples: p.samples, Variance: p.covariance[bestEffort]})
 			}
 		}
 	}
-	for image, mean := range o.pressure.mean {
-		e.Images = append(e.Images, ImageExperience{Image: image, Idle: o.pressure.idleOf(image), Mean: mean})
+	for image, mean := range o.interference.meanOwnLoad {
+		e.Images = append(e.Images, ImageExperience{Image: image, Idle: o.interference.idleTailRatio(image), Mean: mean})
 	}
-	for queue, s := range o.shapes {
-		e.Ratios[queue], e.Variances[queue] = s.ratio, s.variance
+	for queue, s := range o.queueStats {
+		e.Ratios[queue], e.Variances[queue] = s.runTimeRatio, s.runTimeVariance
 	}
 	return e
 }
 
-// recall takes over what an earlier leader knew.
-func (o *Orchestrator) recall(e Experience) {
+// restoreExperience takes over the statistics of an earlier leader.
+func (o *Orchestrator) restoreExperience(e Experience) {
 	for _, p := range e.Pairs {
-		r := o.pressure.reaction(p.Serving, p.Filler)
+		r := o.interference.pair(p.Serving, p.Filler)
 		r.coefficient, r.samples, r.covariance[p.Filler] = p.Coefficient, p.Samples, p.Variance
 	}
 	for _, i := range e.Images {
-		o.pressure.idle[i.Image], o.pressure.mean[i.Image] = i.Idle, i.Mean
+		o.interference.idleTailRatios[i.Image], o.interference.meanOwnLoad[i.Image] = i.Idle, i.Mean
 	}
 	for queue, ratio := range e.Ratios {
-		o.shape(queue).ratio, o.shape(queue).variance = ratio, e.Variances[queue]
+		o.stats(queue).runTimeRatio, o.stats(queue).runTimeVariance = ratio, e.Variances[queue]
 	}
 }
--- a/internal/orchestrator/record_test.go
+++ b/internal/orchestrator/record_test.go
@@ -11,13 +11,13 @@
 
 // Guards against records that stay in the store for ever: a final state goes after its
 // retention, also if the first write that deletes it fails.
-func TestFinalStatesExpire(t *testing.T) {
+func TestRecordsOfFinishedJobsExpire(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1)
 	w.addWorker("w0", cores(4, 16), "r0")
 	w.elect(false)
 	w.run(time.Second)
-	w.submit(simple("j1", 1, cores(1, 1)))
+	w.submit(simpleJob("j1", 1, cores(1, 1)))
 	w.run(2 * time.Second)
 	is.Equal(w.state("j1"), orchestrator.StateSucceeded)
 	l := w.leader()
@@ -36,7 +36,7 @@
 }
 
 // Guards against a successor that learns anew which images disturb each other.
-func TestExperienceOutlivesItsLeader(t *testing.T) {
+func TestExperienceSurvivesLeaderChange(t *testing.T) {
 	is := is.New(t)
 	e := orchestrator.Experience{
 		Pairs:  []orchestrator.PairExperience{{Serving: "web", Filler: "loud", Coefficient: 3, Samples: 40, Variance: 0.02}},
--- /dev/null
+++ b/internal/orchestrator/reservation.go
@@ -0,0 +1,58 @@
+package orchestrator
+
+import "time"
+
+const (
+	// reservationTime is how long a worker stays reserved for a task after the last pass in
+	// which the task still waited.
+	reservationTime = 500 * time.Millisecond
+	// maxReservedShare bounds the share of the candidates that are reserved at the same time.
+	// One of them may be reserved in any case.
+	maxReservedShare = 0.05
+)
+
+// reserveWorker reserves a worker for a long-running task that has waited for
+// longRunningMaxWait, and returns the reason why the task waits. Without the reservation,
+// smaller tasks of short jobs would use all capacity as soon as it becomes free, and there
+// would never be enough for the large task.
+func (o *Orchestrator) reserveWorker(t *task, workers []*worker) string {
+	const noRoom = "no worker has room"
+	if !t.step.LongRunning || o.now.Sub(t.waitingSince) < longRunningMaxWait {
+		return noRoom
+	}
+	reserved := 0
+	var best *worker
+	for _, w := range workers {
+		if w.atLimit(t.step) || w.free().covers(t.step.countedSize()) {
+			continue // it does not wait for capacity there
+		}
+		if w.reservedFor != nil && o.now.Before(w.reservedUntil) {
+			if w.reservedFor == t {
+				best = w
+				break
+			}
+			reserved++
+			continue
+		}
+		if w.freeAfterShortTasks().covers(t.step.countedSize()) && (best == nil || w.free().CPU > best.free().CPU) {
+			best = w
+		}
+	}
+	if best == nil || best.reservedFor != t && reserved >= max(1, int(maxReservedShare*float64(len(workers)))) {
+		return noRoom
+	}
+	best.reservedFor, best.reservedUntil = t, o.now.Add(reservationTime)
+	return "worker " + best.ID + " is reserved for the task until it has enough free capacity"
+}
+
+// freeAfterShortTasks returns the free capacity of a worker after all its tasks that are not
+// long-running have ended.
+func (w *worker) freeAfterShortTasks() Resources {
+	free := w.free()
+	for _, r := range w.runs {
+		if !r.task.step.LongRunning {
+			free = free.add(r.task.step.countedSize())
+		}
+	}
+	return free
+}
--- a/internal/orchestrator/run.go
+++ b/internal/orchestrator/run.go
@@ -12,76 +12,78 @@
 type phase string
 
 const (
-	phaseStarting phase = "starting" // sent, not answered
+	phaseStarting phase = "starting" // the start is sent and not answered
 	phaseRunning  phase = "running"
 	phaseStopping phase = "stopping"
 )
 
-// stopPatience is how long a run whose stop was answered may still be listed before the
-// stop is sent again. The platform's workers end a run within a second of it.
-const stopPatience = 2 * time.Second
+// stopTimeout is how long a run may still be listed as running after its stop was answered,
+// before the stop is sent again. The platform's workers end a run within a second of a stop.
+const stopTimeout = 2 * time.Second
 
-// probeTime is how long a long-running task must be at work on a worker whose tasks failed
-// before others start there too. Tasks on a worker that fails them end within a second.
-const probeTime = 1500 * time.Millisecond
+// probeDuration is how long a long-running task must run on a quarantined worker before the
+// worker gets other tasks again. Tasks on a worker that fails them end within a second.
+const probeDuration = 1500 * time.Millisecond
 
-// unknownPace is the pace of a run whose last order got no answer or came from an
-// earlier leader.
-const unknownPace = -1
+// unknownSpeed is the confirmed speed of a run whose last throttle command got no answer or
+// came from an earlier leader.
+const unknownSpeed = -1
 
 type run struct {
-	task      *task
-	worker    *worker
-	number    int
-	phase     phase
-	sentAt    time.Time
-	startedAt time.Time
-	settledAt time.Time // when the worker's answer made its lists binding; zero: not yet
-	inFlight  bool      // an order is on its way
-	unknown   bool      // an unanswered start may still be carried out
-	saved     string    // handed to the start
-	ticket    string
-	percent   int
-	percentAt time.Time // of the last progress
-	own       float64   // utilization by its own callers, of a task with a latency target
-	tail      float64   // measured tail as a share of the latency target
-	wish      int       // percent of its speed that the run may use
-	pace      int       // percent that the worker has confirmed, or unknownPace
-	paceSent  time.Time
-	paceBusy  bool
-	moveFrom  time.Time // when a better worker may be looked for again
-	slowed    bool      // it has not run at full speed all the time, as far as is known
+	task             *task
+	worker           *worker
+	number           int
+	phase            phase
+	sentAt           time.Time
+	startedAt        time.Time
+	ackedAt          time.Time // when the worker answered the last start or stop; zero: not yet
+	inFlight         bool      // a start or stop is sent and not answered
+	startUnanswered  bool      // a start without an answer may still be executed
+	saved            string    // checkpoint that the start passes on
+	ticket           string
+	progressPercent  int
+	progressAt       time.Time // when progressPercent last changed
+	ownLoad          float64   // utilization that its own callers cause; latency-critical tasks only
+	tailRatio        float64   // measured tail latency as a share of the latency target
+	targetSpeed      int       // speed limit in percent
+	confirmedSpeed   int       // speed limit in percent that the worker has confirmed, or unknownSpeed
+	throttleSentAt   time.Time
+	throttleInFlight bool
+	nextMoveSearch   time.Time // earliest time of the next search for a better worker
+	throttled        bool      // it may have run below full speed at some time
 }
 
 func (r *run) key() runKey { return runKey{r.task.name, r.number} }
 
-// attach makes a run known to its task and worker.
-func (o *Orchestrator) attach(t *task, w *worker, number int, p phase) *run {
-	r := &run{task: t, worker: w, number: number, phase: p, sentAt: o.now, startedAt: o.now, percentAt: o.now, pace: 100, wish: 100, own: usualLoad}
+// addRun adds a run to its task and its worker.
+func (o *Orchestrator) addRun(t *task, w *worker, number int, p phase) *run {
+	r := &run{task: t, worker: w, number: number, phase: p, sentAt: o.now, startedAt: o.now, progressAt: o.now, confirmedSpeed: 100, targetSpeed: 100, ownLoad: defaultOwnLoad}
 	t.runs = append(t.runs, r)
-	t.nextRun, t.owned = max(t.nextRun, number+1), true
+	t.nextRun, t.observed = max(t.nextRun, number+1), true
 	w.runs[r.key()] = r
-	w.foreseen = false
-	t.job().runs++
-	w.account(t.step.Step, 1)
+	w.headroomsValid = false
+	t.job().runCount++
+	w.addUsage(t.step.Step, 1)
 	return r
 }
 
-// speed returns the percent of its speed that a run uses, as far as is known.
-func (r *run) speed() int {
-	if r.pace < 0 {
-		return r.wish
+// effectiveSpeed returns the speed limit of a run in percent: the confirmed one, or the
+// targeted one if that is unknown.
+func (r *run) effectiveSpeed() int {
+	if r.confirmedSpeed < 0 {
+		return r.targetSpeed
 	}
-	return r.pace
+	return r.confirmedSpeed
 }
 
-func (w *worker) account(s *Step, sign int) {
+// addUsage adds a task of the step to the worker's usage, or removes it if sign is -1.
+func (w *worker) addUsage(s *Step, sign int) {
 	size := s.Size
 	if s.Fills {
-		w.load.filling += sign * size.CPU
+		w.load.bestEffort += sign * size.CPU
 		size.CPU = 0
 	} else if s.LatencyTarget > 0 {
-		w.load.serving += sign * size.CPU
+		w.load.latencyCritical += sign * size.CPU
 	}
 	if sign > 0 {
 		w.used = w.used.add(size)
@@ -90,8 +92,8 @@
 	}
 }
 
-// drop forgets a run that has ended.
-func (o *Orchestrator) drop(r *run) {
+// removeRun removes a run that has ended from its task and its worker.
+func (o *Orchestrator) removeRun(r *run) {
 	w, t := r.worker, r.task
 	if w.runs[r.key()] != r {
 		return
@@ -100,87 +102,89 @@
 	if w.probe == r {
 		w.probe = nil
 	}
-	w.account(t.step.Step, -1)
+	w.addUsage(t.step.Step, -1)
 	t.runs = slices.DeleteFunc(t.runs, func(k *run) bool { return k == r })
-	t.since = o.now
+	t.waitingSince = o.now
 	o.passDue = true
 	j := t.job()
-	if j.runs--; j.runs == 0 {
+	if j.runCount--; j.runCount == 0 {
 		j.idleSince = o.now
 	}
 	if j.state.Final() {
-		o.retire(j)
+		o.removeFinishedJob(j)
 	}
 }
 
-// lapsed drops a run whose lease or worker has ended unseen. What the worker may list
-// of it later does not count any more.
-func (o *Orchestrator) lapsed(r *run) {
-	if r.task.lapsed == nil {
-		r.task.lapsed = make(map[int]bool)
+// expireRun removes a run whose lease or worker has ended without a report. Later reports of
+// the run are ignored.
+func (o *Orchestrator) expireRun(r *run) {
+	if r.task.expiredRuns == nil {
+		r.task.expiredRuns = make(map[int]bool)
 	}
-	r.task.lapsed[r.number] = true
-	o.do(Note{Event: EventRunLost, Job: r.task.job().ID, Task: r.task.name, Run: r.number, Worker: r.worker.ID, Outcome: "lapsed"})
-	o.drop(r)
+	r.task.expiredRuns[r.number] = true
+	o.emit(Note{Event: EventRunLost, Job: r.task.job().ID, Task: r.task.name, Run: r.number, Worker: r.worker.ID, Outcome: "lapsed"})
+	o.removeRun(r)
 }
 
-// start sends a task to a worker.
+// start adds a run and sends its start to the worker.
 func (o *Orchestrator) start(t *task, w *worker, number int, ticket string) *run {
-	r := o.attach(t, w, number, phaseStarting)
+	r := o.addRun(t, w, number, phaseStarting)
 	r.saved, r.ticket = t.saved, ticket
 	o.send(r)
 	return r
 }
 
+// send sends a run's start. Its lease is valid only if no later leader can exist yet.
 func (o *Orchestrator) send(r *run) {
 	d, ok := o.deadline(r.worker)
 	if !ok {
 		return // repeated once the leader's authority is confirmed
 	}
 	r.inFlight, r.sentAt = true, o.now
-	o.do(StartRun{Worker: r.worker.ID, Task: r.task.name, Run: r.number, Spec: r.task.job().Spec, Deadline: d, Saved: r.saved, Ticket: r.ticket})
+	o.emit(StartRun{Worker: r.worker.ID, Task: r.task.name, Run: r.number, Spec: r.task.job().Spec, Deadline: d, Saved: r.saved, Ticket: r.ticket})
 }
 
 func (o *Orchestrator) startAnswered(e StartAnswered) {
-	r := o.runOn(e.Worker, e.Task, e.Run)
+	r := o.findRun(e.Worker, e.Task, e.Run)
 	if r == nil {
 		return
 	}
 	w := r.worker
 	r.inFlight = false
 	if e.Outcome != StartAccepted {
-		o.do(Note{Event: EventStartRefused, Job: r.task.job().ID, Task: e.Task, Run: e.Run, Worker: e.Worker, Outcome: string(e.Outcome), Age: o.now.Sub(r.sentAt)})
+		o.emit(Note{Event: EventStartRefused, Job: r.task.job().ID, Task: e.Task, Run: e.Run, Worker: e.Worker, Outcome: string(e.Outcome), Age: o.now.Sub(r.sentAt)})
 	}
 	switch e.Outcome {
 	case StartAccepted, StartOld:
-		// After "old" the run has ended there, and the next look lists its end.
+		// After StartOld the run has ended there, and the next poll lists its end.
 		o.accepted(r)
 	case StartFenced:
-		o.stepDown("worker " + w.ID + " knows a newer leader")
+		o.stepDown("worker " + w.ID + " has accepted a later leader")
 	case StartReplaced:
-		o.lookFailed(LookFailed{Worker: w.ID, Replaced: true})
+		o.pollFailed(LookFailed{Worker: w.ID, Replaced: true})
 	case StartUnknown:
-		r.unknown, w.doubt = true, o.now
+		r.startUnanswered, w.unansweredAt = true, o.now
 	case StartNotSent:
-		w.doubt = o.now
-		o.refused(r)
+		w.unansweredAt = o.now
+		o.startNotExecuted(r)
 	case StartNoRoom:
-		w.fullUntil = o.now.Add(resendAfter)
-		o.refused(r)
+		w.noRoomUntil = o.now.Add(resendInterval)
+		o.startNotExecuted(r)
 	case StartUnhealthy:
-		o.judge(w, r.task.job(), true)
-		o.refused(r)
+		o.recordRunOutcome(w, r.task.job(), true)
+		o.startNotExecuted(r)
 	case StartNoTicket:
 		r.task.step.advice = advice{}
-		o.refused(r)
+		o.startNotExecuted(r)
 	case StartLate, StartInvalid:
-		o.refused(r)
+		o.startNotExecuted(r)
 	}
 }
 
+// accepted handles a start that the worker has accepted.
 func (o *Orchestrator) accepted(r *run) {
-	if r.settledAt.IsZero() {
-		r.settledAt = o.now
+	if r.ackedAt.IsZero() {
+		r.ackedAt = o.now
 		r.startedAt = o.now
 	}
 	if r.phase == phaseStarting {
@@ -195,48 +199,49 @@
 	}
 }
 
-// refused handles a start that the worker has not carried out. If an earlier send of it
-// got no answer, the run must be stopped before the task can start elsewhere.
-func (o *Orchestrator) refused(r *run) {
-	if r.unknown {
-		o.stop(r, "a start without an answer must not be carried out later")
+// startNotExecuted handles a start that the worker has not executed. If an earlier send of
+// it got no answer, the run must be stopped before the task can start elsewhere.
+func (o *Orchestrator) startNotExecuted(r *run) {
+	if r.startUnanswered {
+		o.stop(r, "an unanswered start of the run must not be executed later")
 		return
 	}
 	if r.phase == phaseStarting {
-		o.drop(r)
+		o.removeRun(r)
 	}
 }
 
-// tickRun repeats orders that got no answer.
-func (o *Orchestrator) tickRun(r *run) {
+// resendCommands sends a start or stop again that got no answer.
+func (o *Orchestrator) resendCommands(r *run) {
 	w := r.worker
-	if r.inFlight || w.failing || !w.resolved || o.now.Sub(r.sentAt) < resendAfter {
+	if r.inFlight || w.unreachable || !w.resolved || o.now.Sub(r.sentAt) < resendInterval {
 		return
 	}
 	switch {
 	case r.phase == phaseStarting:
 		o.send(r)
-	case r.phase == phaseStopping && r.settledAt.IsZero():
+	case r.phase == phaseStopping && r.ackedAt.IsZero():
 		o.sendStop(r)
 	}
 }
 
-// stop ends a run on its worker.
+// stop begins to stop a run. The run is removed once its worker lists its end.
 func (o *Orchestrator) stop(r *run, reason string) {
 	if r.phase == phaseStopping {
 		return
 	}
-	r.phase, r.settledAt = phaseStopping, time.Time{}
-	o.do(Note{Event: EventStop, Job: r.task.job().ID, Task: r.task.name, Run: r.number, Worker: r.worker.ID, Reason: reason,
-		Age: o.now.Sub(r.startedAt), Figures: fmt.Sprintf("Percent=%d", r.percent)})
+	r.phase, r.ackedAt = phaseStopping, time.Time{}
+	o.emit(Note{Event: EventStop, Job: r.task.job().ID, Task: r.task.name, Run: r.number, Worker: r.worker.ID, Reason: reason,
+		Age: o.now.Sub(r.startedAt), Figures: fmt.Sprintf("Percent=%d", r.progressPercent)})
 	o.sendStop(r)
 }
 
 func (o *Orchestrator) sendStop(r *run) {
 	r.inFlight, r.sentAt = true, o.now
-	o.do(StopRun{Worker: r.worker.ID, Task: r.task.name, Run: r.number})
+	o.emit(StopRun{Worker: r.worker.ID, Task: r.task.name, Run: r.number})
 }
 
+// stopRuns stops all runs of a task.
 func (o *Orchestrator) stopRuns(t *task, reason string) {
 	for _, r := range slices.Clone(t.runs) {
 		o.stop(r, reason)
@@ -245,23 +250,23 @@
 
 func (o *Orchestrator) stopAnswered(e StopAnswered) {
 	if e.Fenced {
-		o.stepDown("worker " + e.Worker + " knows a newer leader")
+		o.stepDown("worker " + e.Worker + " has accepted a later leader")
 		return
 	}
-	r := o.runOn(e.Worker, e.Task, e.Run)
+	r := o.findRun(e.Worker, e.Task, e.Run)
 	if r == nil || r.phase != phaseStopping {
 		return
 	}
 	r.inFlight = false
 	if e.Answered {
-		r.settledAt = o.now
+		r.ackedAt = o.now
 	} else {
-		r.worker.doubt = o.now
+		r.worker.unansweredAt = o.now
 	}
 }
 
-// runOn returns a run that the leader knows on a worker, nil if it knows none.
-func (o *Orchestrator) runOn(worker, task string, number int) *run {
+// findRun returns a run on a worker, nil if there is none.
+func (o *Orchestrator) findRun(worker, task string, number int) *run {
 	w := o.workers[worker]
 	if w == nil {
 		return nil
@@ -269,72 +274,72 @@
 	return w.runs[runKey{task, number}]
 }
 
-// adopt takes over a run that a worker lists and this leader has not started, or had
-// given up. It returns nil if the run must end.
+// adopt adds a run that a worker lists and this leader has not started, or has removed. It
+// returns nil if the run must be stopped.
 func (o *Orchestrator) adopt(w *worker, row RunningRow) *run {
-	t := o.find(row.Task)
+	t := o.findTask(row.Task)
 	reason := ""
 	switch {
 	case t == nil:
-		reason = "its job has ended or is not known"
+		reason = "the job of the run has ended or is unknown"
 	case t.done:
-		reason = "the task has ended well"
-	case t.lapsed[row.Run]:
-		reason = "the run was given up"
+		reason = "the task has already succeeded"
+	case t.expiredRuns[row.Run]:
+		reason = "the run has expired with its lease or its worker"
 	case len(t.runs) > 0 && !t.step.Speculative:
-		reason = "another run of the task is known"
+		reason = "the task has another run"
 	}
 	if reason != "" {
-		o.do(Note{Event: EventStop, Task: row.Task, Run: row.Run, Worker: w.ID, Reason: reason})
-		o.do(StopRun{Worker: w.ID, Task: row.Task, Run: row.Run})
+		o.emit(Note{Event: EventStop, Task: row.Task, Run: row.Run, Worker: w.ID, Reason: reason})
+		o.emit(StopRun{Worker: w.ID, Task: row.Task, Run: row.Run})
 		return nil
 	}
-	r := o.attach(t, w, row.Run, phaseRunning)
+	r := o.addRun(t, w, row.Run, phaseRunning)
 	o.accepted(r)
-	r.percent, r.pace, r.slowed = row.Percent, unknownPace, true
-	o.do(Note{Event: EventAdopt, Job: t.job().ID, Task: t.name, Run: row.Run, Worker: w.ID, Figures: fmt.Sprintf("Percent=%d", row.Percent)})
+	r.progressPercent, r.confirmedSpeed, r.throttled = row.Percent, unknownSpeed, true
+	o.emit(Note{Event: EventAdopt, Job: t.job().ID, Task: t.name, Run: row.Run, Worker: w.ID, Figures: fmt.Sprintf("Percent=%d", row.Percent)})
 	return r
 }
 
-// observe takes up what a worker says of a run.
-func (o *Orchestrator) observe(r *run, row RunningRow) {
+// updateRun applies a worker's report of a running run.
+func (o *Orchestrator) updateRun(r *run, row RunningRow) {
 	if row.Saved != "" {
 		r.task.saved = row.Saved
 	}
 	if r.phase == phaseStarting {
-		r.unknown = false
+		r.startUnanswered = false
 		o.accepted(r)
 	}
-	if r.phase == phaseStopping && !r.settledAt.IsZero() && o.now.Sub(r.settledAt) > stopPatience {
-		r.settledAt = time.Time{}
+	if r.phase == phaseStopping && !r.ackedAt.IsZero() && o.now.Sub(r.ackedAt) > stopTimeout {
+		r.ackedAt = time.Time{}
 		o.sendStop(r)
 	}
-	if row.Percent != r.percent {
-		r.percent, r.percentAt = row.Percent, o.now
+	if row.Percent != r.progressPercent {
+		r.progressPercent, r.progressAt = row.Percent, o.now
 	}
 	if s := r.task.step; s.LatencyTarget > 0 && row.Figure > 0 {
-		r.tail = float64(row.Figure) * float64(time.Millisecond) / float64(s.LatencyTarget)
+		r.tailRatio = float64(row.Figure) * float64(time.Millisecond) / float64(s.LatencyTarget)
 	}
-	if r == r.worker.probe && r.task.step.LongRunning && row.Percent >= 100 && o.now.Sub(r.startedAt) >= probeTime {
-		o.judge(r.worker, r.task.job(), false)
+	if r == r.worker.probe && r.task.step.LongRunning && row.Percent >= 100 && o.now.Sub(r.startedAt) >= probeDuration {
+		o.recordRunOutcome(r.worker, r.task.job(), false)
 	}
-	o.straggle(r)
-	o.release(r)
+	o.checkStraggler(r)
+	o.moveThrottled(r)
 }
 
-// applyEnd takes up the end of a run.
+// applyEnd applies a worker's report of the end of a run.
 func (o *Orchestrator) applyEnd(w *worker, row EndedRow) {
-	t := o.find(row.Task)
+	t := o.findTask(row.Task)
 	if t == nil {
 		if r := w.runs[runKey{row.Task, row.Run}]; r != nil {
 			o.noteEnd(r, row)
-			o.drop(r)
+			o.removeRun(r)
 		}
 		end := appliedEnd{number: row.Number}
-		if j := o.jobs[jobOf(row.Task)]; j != nil {
+		if j := o.jobs[jobID(row.Task)]; j != nil {
 			end.job, end.version = j, j.version
 		}
-		w.ends = append(w.ends, end)
+		w.unackedEnds = append(w.unackedEnds, end)
 		return
 	}
 	j := t.job()
@@ -342,30 +347,30 @@
 	t.nextRun = max(t.nextRun, row.Run+1)
 	if r != nil {
 		o.noteEnd(r, row)
-		o.measure(r, row)
-		o.drop(r)
+		o.recordRunTime(r, row)
+		o.removeRun(r)
 	}
 	if row.Saved != "" && !t.done {
 		t.saved = row.Saved
 	}
-	if !t.lapsed[row.Run] {
+	if !t.expiredRuns[row.Run] {
 		o.applyOutcome(t, w, row)
 	}
 	o.change(j)
-	w.ends = append(w.ends, appliedEnd{number: row.Number, job: j, version: j.version})
+	w.unackedEnds = append(w.unackedEnds, appliedEnd{number: row.Number, job: j, version: j.version})
 }
 
 func (o *Orchestrator) noteEnd(r *run, row EndedRow) {
-	expected := r.task.step.expected(o.shape(r.task.job().Policy.Queue).ratio)
-	o.do(Note{Event: EventEnd, Job: r.task.job().ID, Task: row.Task, Run: row.Run, Worker: r.worker.ID, Outcome: string(row.How), Age: o.now.Sub(r.startedAt),
-		Figures: fmt.Sprintf("Expected=%s Pace=%d%% Unused=%.1f Filling=%.1f", expected.Round(time.Millisecond), r.wish, float64(r.worker.unused())/1000, float64(r.worker.load.filling)/1000)})
+	expected := r.task.step.expected(o.stats(r.task.job().Policy.Queue).runTimeRatio)
+	o.emit(Note{Event: EventEnd, Job: r.task.job().ID, Task: row.Task, Run: row.Run, Worker: r.worker.ID, Outcome: string(row.How), Age: o.now.Sub(r.startedAt),
+		Figures: fmt.Sprintf("Expected=%s Pace=%d%% Unused=%.1f Filling=%.1f", expected.Round(time.Millisecond), r.targetSpeed, float64(r.worker.unused())/1000, float64(r.worker.load.bestEffort)/1000)})
 }
 
 func (o *Orchestrator) applyOutcome(t *task, w *worker, row EndedRow) {
 	j := t.job()
 	switch row.How {
 	case EndDone:
-		o.judge(w, j, false)
+		o.recordRunOutcome(w, j, false)
 		if t.step.LongRunning {
 			return
 		}
@@ -374,26 +379,27 @@
 			members = t.step.tasks
 		}
 		for _, m := range members {
-			o.stopRuns(m, "another run of the task has ended well")
+			o.stopRuns(m, "another run of the task has succeeded")
 			o.taskDone(m)
 		}
 	case EndFailed:
-		o.judge(w, j, true)
-		t.avoidOn(w)
+		o.recordRunOutcome(w, j, true)
+		t.avoidWorker(w)
 		o.countFailure(t, row.Run)
 	case EndStopped, EndLapsed, EndBroken, EndAlone:
-		// Not the task's own fault: it starts again.
+		// Not the task's own failure: it starts again and the attempt does not count.
 	}
 }
 
-// avoidOn remembers that the task should rather run elsewhere.
-func (t *task) avoidOn(w *worker) {
-	if t.avoid == nil {
-		t.avoid = make(map[string]bool)
+// avoidWorker lowers a worker's score for the task from now on.
+func (t *task) avoidWorker(w *worker) {
+	if t.avoidedWorkers == nil {
+		t.avoidedWorkers = make(map[string]bool)
 	}
-	t.avoid[w.ID] = true
+	t.avoidedWorkers[w.ID] = true
 }
 
+// countFailure counts a failed run, and fails the job when the task has used up its attempts.
 func (o *Orchestrator) countFailure(t *task, number int) {
 	if t.step.LongRunning {
 		return
@@ -406,57 +412,59 @@
 	}
 	t.failed = append(t.failed, number)
 	if len(t.failed) >= t.attempts() {
-		o.finish(t.job(), StateFailed, fmt.Sprintf("task %s failed %d times", t.name, len(t.failed)))
+		o.finish(t.job(), StateFailed, fmt.Sprintf("task %s failed %d times and has no attempts left", t.name, len(t.failed)))
 	}
 }
 
-// measure learns run times from a run that ended well and was never slowed.
-func (o *Orchestrator) measure(r *run, row EndedRow) {
+// recordRunTime updates the run time statistics by a run that succeeded, began without a
+// checkpoint and was never throttled.
+func (o *Orchestrator) recordRunTime(r *run, row EndedRow) {
 	s := r.task.step
-	if row.How != EndDone || r.saved != "" || r.slowed || r.startedAt.IsZero() {
+	if row.How != EndDone || r.saved != "" || r.throttled || r.startedAt.IsZero() {
 		return
 	}
 	took := o.now.Sub(r.startedAt)
-	sh := o.shape(r.task.job().Policy.Queue)
-	if expected := s.expected(sh.ratio); expected > 0 && !s.Fills {
-		r.worker.slow += slowWeight * (float64(took)/float64(expected) - r.worker.slow)
+	qs := o.stats(r.task.job().Policy.Queue)
+	if expected := s.expected(qs.runTimeRatio); expected > 0 && !s.Fills {
+		r.worker.slowdown += slowdownWeight * (float64(took)/float64(expected) - r.worker.slowdown)
 	}
-	if s.measures >= spreadMeasures && took > 0 {
-		d := math.Log(float64(took) / float64(s.measured))
-		sh.variance += ratioWeight * (min(d*d, maxVariance) - sh.variance)
+	if s.runTimeSamples >= minVarianceSamples && took > 0 {
+		d := math.Log(float64(took) / float64(s.meanRunTime))
+		qs.runTimeVariance += queueStatsWeight * (min(d*d, maxVariance) - qs.runTimeVariance)
 	}
-	s.measures++
-	s.measured += (took - s.measured) / time.Duration(s.measures)
+	s.runTimeSamples++
+	s.meanRunTime += (took - s.meanRunTime) / time.Duration(s.runTimeSamples)
 	if s.Estimate > 0 {
-		sh.ratio += ratioWeight * (float64(took)/float64(s.Estimate) - sh.ratio)
+		qs.runTimeRatio += queueStatsWeight * (float64(took)/float64(s.Estimate) - qs.runTimeRatio)
 	}
 }
 
 const (
-	slowWeight  = 0.2  // of one run in a worker's slowdown
-	ratioWeight = 0.02 // of one run in what is known of a queue
-	// spreadMeasures is how many tasks of a step must have ended before their mean is
-	// good enough to tell how much others differ from it.
-	spreadMeasures = 3
-	maxVariance    = 1.0 // one straggler must not make all steps look uneven
+	slowdownWeight   = 0.2  // of one run in a worker's slowdown
+	queueStatsWeight = 0.02 // of one run in the queue's statistics
+	// minVarianceSamples is how many tasks of a step must have ended before the deviation of
+	// others from their mean run time is used.
+	minVarianceSamples = 3
+	maxVariance        = 1.0 // bounds the effect of one straggler on the queue's variance
 )
 
-// expected returns the expected run time of a task of the step.
+// expected returns the expected run time of a task of the step: the mean of its measured
+// tasks, or the estimate times the queue's ratio of measured run times to estimates.
 func (s *step) expected(ratio float64) time.Duration {
-	if s.measures > 0 {
-		return s.measured
+	if s.runTimeSamples > 0 {
+		return s.meanRunTime
 	}
 	return time.Duration(ratio * float64(s.Estimate))
 }
 
-// longest returns the expected run time of the longest of n tasks of a step as a multiple
-// of the mean. Run times are taken as log-normal; sqrt(2 ln n) - 0.6 is within 0.05 of
-// the mean of the largest of n normal values for n from 2 to 40.
-func (sh *shape) longest(n int) float64 {
+// longestFactor returns the expected run time of the longest of n tasks of a step as a
+// multiple of the mean. Run times are modelled as log-normal; sqrt(2 ln n) - 0.6 is within
+// 0.05 of the mean of the largest of n normal values for n from 2 to 40.
+func (qs *queueStats) longestFactor(n int) float64 {
 	if n < 2 {
 		return 1
 	}
-	return math.Exp(math.Sqrt(sh.variance) * (math.Sqrt(2*math.Log(float64(n))) - 0.6))
+	return math.Exp(math.Sqrt(qs.runTimeVariance) * (math.Sqrt(2*math.Log(float64(n))) - 0.6))
 }
 
 // remaining returns how much longer a run is expected to take.
@@ -465,15 +473,15 @@
 	if r.task.step.LongRunning {
 		return time.Hour // until the job is cancelled
 	}
-	if r.percent > 5 && r.percent < 100 {
-		return elapsed * time.Duration(100-r.percent) / time.Duration(r.percent)
+	if r.progressPercent > 5 && r.progressPercent < 100 {
+		return elapsed * time.Duration(100-r.progressPercent) / time.Duration(r.progressPercent)
 	}
 	return max(0, r.task.step.expected(ratio)-elapsed)
 }
 
-// retire forgets a job in a final state that stands in the store and has no runs left.
-func (o *Orchestrator) retire(j *job) {
-	if !j.state.Final() || j.written < j.version {
+// removeFinishedJob removes a job if its final state is in the store and it has no runs left.
+func (o *Orchestrator) removeFinishedJob(j *job) {
+	if !j.state.Final() || j.writtenVersion < j.version {
 		return
 	}
 	for _, oc := range j.occurrences {
@@ -488,36 +496,36 @@
 	delete(o.jobs, j.ID)
 }
 
-// Batch is a group of writes that succeed or fail together.
+// Batch is a group of changes that are written to the store in one transaction.
 type Batch struct {
 	Entries       []BatchEntry
 	Roster        *Roster     // nil: unchanged
 	Learnt        *Experience // nil: not due
 	rosterVersion uint64
-	enrolled      []string
+	enrolled      []string // workers that Roster lists as not idle
 }
 
-// BatchEntry is the write of one job's record.
+// BatchEntry is the write or the deletion of one job's record.
 type BatchEntry struct {
 	Record  Record
-	Delete  bool // the record itself goes, after its retention
+	Delete  bool // the record is deleted, after its retention
 	version uint64
 }
 
-// batchDelay is how long changes that no caller waits for are collected. The ends of
-// runs are acknowledged after it, and until then each look lists them again.
+// batchDelay is how long changes are collected that no caller waits for. Ends of runs are
+// acknowledged only after it, and until then each poll lists them again.
 const batchDelay = 80 * time.Millisecond
 
-// learntEvery is the interval at which a leader's experience is written.
-const learntEvery = 2 * time.Second
+// experienceInterval is the pause between two writes of the leader's Experience.
+const experienceInterval = 2 * time.Second
 
-// NextBatch returns the most urgent changes, at most limit jobs, and false if there are
-// none. all includes those that could still be collected.
+// NextBatch returns the most urgent changes, of at most limit jobs, and false if there are
+// none. all includes changes that are younger than batchDelay.
 func (o *Orchestrator) NextBatch(limit int, all bool, now time.Time) (Batch, bool) {
 	var b Batch
 	for _, final := range []bool{true, false} {
 		for _, j := range o.dirty {
-			due := final || all || now.Sub(j.changed) >= batchDelay
+			due := final || all || now.Sub(j.changedAt) >= batchDelay
 			if len(b.Entries) < limit && j.state.Final() == final && due {
 				b.Entries = append(b.Entries, BatchEntry{Record: j.record(), version: j.version})
 			}
@@ -536,18 +544,19 @@
 			}
 		}
 	}
-	if now.Sub(o.learntAt) >= learntEvery {
-		o.learntAt = now
+	if now.Sub(o.experienceAt) >= experienceInterval {
+		o.experienceAt = now
 		b.Learnt = o.experience()
 	}
 	return b, len(b.Entries) > 0 || b.Roster != nil
 }
 
-// Unwritten reports whether the store lacks changes.
+// Unwritten reports whether there are changes that the store does not have yet.
 func (o *Orchestrator) Unwritten() bool {
 	return len(o.dirty) > 0 || len(o.expired) > 0 || o.rosterWritten < o.rosterVersion
 }
 
+// batchWritten handles a batch that has been written to the store.
 func (o *Orchestrator) batchWritten(b Batch) {
 	for _, e := range b.Entries {
 		if e.Delete {
@@ -557,22 +566,22 @@
 		if e.Delete || j == nil {
 			continue
 		}
-		j.written = max(j.written, e.version)
-		if j.written < j.version {
-			j.changed = o.now
+		j.writtenVersion = max(j.writtenVersion, e.version)
+		if j.writtenVersion < j.version {
+			j.changedAt = o.now
 			continue
 		}
 		delete(o.dirty, j.ID)
 		if j.state.Final() {
 			o.finished[j.ID] = finishedJob{queue: j.Policy.Queue, state: j.state, at: j.finishedAt}
-			o.retire(j)
+			o.removeFinishedJob(j)
 		}
 	}
 	if b.Roster != nil {
 		o.rosterWritten = max(o.rosterWritten, b.rosterVersion)
 		for _, id := range b.enrolled {
 			if w := o.workers[id]; w != nil && !w.idle {
-				w.rostered, w.enrolling = true, false
+				w.rostered, w.rosterPending = true, false
 			}
 		}
 		o.passDue = true
