--- a/internal/orchestrator/worker.go
+++ b/internal/orchestrator/worker.go
@@ -10,17 +10,19 @@
 )
 
 const (
-	// unlistedAfter is how long a missing entry of the discovery is not yet held
-	// against a worker: entries return within two seconds of a store outage.
-	unlistedAfter = 2500 * time.Millisecond
-	// resendAfter is the pause between two sends of an order that got no answer.
-	resendAfter = 300 * time.Millisecond
-	// failureStreak is the number of failed runs in a row, of different jobs, from which
-	// a worker gets no new work for avoidFor.
-	failureStreak = 2
-	avoidFor      = 3 * time.Second
-	// drainTime is how long a draining worker runs tasks at least, if it does not say.
-	drainTime = 2 * time.Second
+	// unlistedGrace is how long a worker stays usable after its discovery entry has gone:
+	// entries return within two seconds of a store outage.
+	unlistedGrace = 2500 * time.Millisecond
+	// resendInterval is the pause before a start or stop without an answer is sent again, and
+	// before a worker that reported too little capacity gets another start.
+	resendInterval = 300 * time.Millisecond
+	// quarantineStreak is the number of failed runs in a row, of different jobs, from which
+	// a worker gets no new work for quarantineTime.
+	quarantineStreak = 2
+	quarantineTime   = 3 * time.Second
+	// defaultDrainTime is how long a draining worker is expected to run tasks if it does not
+	// report the time left.
+	defaultDrainTime = 2 * time.Second
 )
 
 type runKey struct {
@@ -30,95 +32,98 @@
 
 type worker struct {
 	WorkerEntry
-	listed     bool
-	unlistedAt time.Time
-	watched    bool
-	enrolling  bool // its place in the roster is to be written
-	rostered   bool // stands in the store's roster as a worker that may run tasks
-	idle       bool // nothing that a leader started can run there
-	inherited  bool // an earlier leader may have started tasks, and it was not reached yet
-	resolved   bool // reached, or every lease of an earlier leader has ended
-
-	born       int64
-	clock      time.Duration // at clockAt, on the worker's clock
-	clockAt    time.Time
-	hasClock   bool
-	expiry     time.Time // from then on nothing that was sent so far runs there
-	lookSentAt time.Time
-	answeredAt time.Time
-	failing    bool      // the last look failed
-	doubt      time.Time // when an order got no answer
+	listed        bool
+	unlistedAt    time.Time
+	watched       bool
+	rosterPending bool // its roster entry is to be written
+	rostered      bool // the roster in the store lists it as a worker that may run tasks
+	idle          bool // no run that any leader started can be there
+	inherited     bool // an earlier leader may have started tasks, and it has not answered this leader yet
+	resolved      bool // it has answered this leader, or every lease of an earlier leader has ended
+
+	incarnation  int64
+	clock        time.Duration // at clockAt, on the worker's clock
+	clockAt      time.Time
+	hasClock     bool
+	leasesEnd    time.Time // by then every lease that has been sent to it has ended
+	pollSentAt   time.Time
+	answeredAt   time.Time
+	unreachable  bool      // the last poll failed
+	unansweredAt time.Time // when a start or stop last got no answer
 
 	runs map[runKey]*run
-	used Resources // of runs whose processors count
+	used Resources // by runs; without the processors of best-effort tasks
 	load struct {
-		serving int // millicores of tasks with a latency target
-		filling int // millicores of tasks that fill, at full pace
-	}
-
-	unaccounted int // listed runs that are being stopped and whose size is not known
-
-	seen  int // highest number of an end that was applied
-	ends  []appliedEnd
-	acked int // ends up to this number stand in the store
-
-	streak     int // failed runs in a row
-	streakJob  string
-	avoidUntil time.Time
-	probing    bool    // one task at a time until one ends well
-	probe      *run    // that task, nil while there is none
-	slow       float64 // moving average of measured to expected run time
-	fullUntil  time.Time
-	heldFor    *task // other tasks do not start until heldUntil
-	heldUntil  time.Time
-	tail       float64 // highest tail latency as a share of its target
-	tailAt     time.Time
-	overSince  time.Time // since when a task is over its latency target
-	pace       int       // lowest pace of a task that fills
-	pacedAt    time.Time
-	outlooks   []outlook
-	foreseen   bool
-	foreseenAt time.Time
-	drainLeft  time.Duration
-	drainSeen  time.Time
+		latencyCritical int // millicores of latency-critical tasks
+		bestEffort      int // millicores of best-effort tasks at full speed
+	}
+
+	unknownRuns int // runs that the worker lists and the leader stops; their size is unknown
+
+	lastAppliedEnd int // highest number of an applied end
+	unackedEnds    []appliedEnd
+	ackedUpto      int // ends up to this number are in the store
+
+	failureStreak    int // failed runs in a row
+	lastFailedJob    string
+	quarantinedUntil time.Time
+	probing          bool      // gets one task at a time until one succeeds
+	probe            *run      // that task, nil while there is none
+	slowdown         float64   // moving average of the ratio of measured to expected run time
+	noRoomUntil      time.Time // gets no starts until then, because it refused one for lack of capacity
+	reservedFor      *task     // other tasks do not start until reservedUntil
+	reservedUntil    time.Time
+	tailRatio        float64 // highest tail latency of its tasks as a share of the target
+	tailAt           time.Time
+	overTargetSince  time.Time // since when a task has been over its latency target; zero: none is
+	minSpeed         int       // lowest speed limit of a best-effort task, in percent
+	throttledAt      time.Time
+	headrooms        []headroom
+	headroomsValid   bool
+	headroomsAt      time.Time
+	drainLeft        time.Duration // how long it still serves while draining, as of drainLeftAt; 0: unknown
+	drainLeftAt      time.Time
 }
 
-// appliedEnd is an end that may be acknowledged once its job's version is written.
+// appliedEnd is the end of a run that may be acknowledged to the worker once the job's
+// version is in the store.
 type appliedEnd struct {
 	number  int
-	job     *job
+	job     *job // nil: the end changes no record
 	version uint64
 }
 
-// lapse returns the real time in which a lease surely ends on a slow clock.
-func lapse(lease time.Duration) time.Duration {
+// maxLeaseTime returns the longest real time for which a lease can last on a worker with a
+// slow clock.
+func maxLeaseTime(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease)/(1-clockDrift)) + leaseSlack
 }
 
 func parseAddress(text string) netip.AddrPort {
 	a, err := netip.ParseAddrPort(text)
 	if err != nil {
-		return netip.AddrPort{} // an empty address names no worker to look at
+		return netip.AddrPort{} // a worker without an address is not polled
 	}
 	return a
 }
 
+// worker returns the worker with an ID, which is added if it is missing.
 func (o *Orchestrator) worker(id string) *worker {
 	w := o.workers[id]
 	if w == nil {
-		w = &worker{WorkerEntry: WorkerEntry{ID: id}, idle: true, runs: make(map[runKey]*run), pace: 100, slow: 1}
+		w = &worker{WorkerEntry: WorkerEntry{ID: id}, idle: true, runs: make(map[runKey]*run), minSpeed: 100, slowdown: 1}
 		o.workers[id] = w
-		o.order = nil
+		o.sortedWorkers = nil
 	}
 	return w
 }
 
-// ordered returns all workers by ID.
-func (o *Orchestrator) ordered() []*worker {
-	if o.order == nil {
-		o.order = slices.SortedFunc(maps.Values(o.workers), func(a, b *worker) int { return cmp.Compare(a.ID, b.ID) })
+// workersByID returns all workers, sorted by ID.
+func (o *Orchestrator) workersByID() []*worker {
+	if o.sortedWorkers == nil {
+		o.sortedWorkers = slices.SortedFunc(maps.Values(o.workers), func(a, b *worker) int { return cmp.Compare(a.ID, b.ID) })
 	}
-	return o.order
+	return o.sortedWorkers
 }
 
 func (o *Orchestrator) listWorkers(entries []WorkerEntry) {
@@ -137,17 +142,17 @@
 func (o *Orchestrator) listWorker(e WorkerEntry) {
 	w := o.worker(e.ID)
 	if !w.listed || w.Draining != e.Draining {
-		o.do(Note{Event: EventWorkerListed, Worker: e.ID, Outcome: listOutcome(e),
+		o.emit(Note{Event: EventWorkerListed, Worker: e.ID, Outcome: listOutcome(e),
 			Figures: fmt.Sprintf("Service=%s FailureDomain=%s Rack=%s Cores=%.1f", e.Service, e.Zone, e.Rack, float64(e.Room.CPU)/1000)})
 	}
 	if e.Draining && !w.Draining {
-		w.drainSeen = o.now
+		w.drainLeftAt = o.now
 	}
 	moved := w.Address != e.Address
 	w.WorkerEntry, w.listed = e, true
 	if !w.watched || moved {
 		w.watched = true
-		o.do(WatchWorker{Worker: e})
+		o.emit(WatchWorker{Worker: e})
 	}
 	o.enroll(w)
 	o.passDue = true
@@ -160,20 +165,20 @@
 	return "ready"
 }
 
-// enroll asks for a worker's place in the roster, without which it gets no starts.
+// enroll requests the write of a worker's roster entry, without which it gets no starts.
 func (o *Orchestrator) enroll(w *worker) {
-	if w.enrolling || w.rostered && !w.idle || w.Draining {
+	if w.rosterPending || w.rostered && !w.idle || w.Draining {
 		return
 	}
-	w.idle, w.rostered, w.enrolling = false, false, true
+	w.idle, w.rostered, w.rosterPending = false, false, true
 	o.rosterVersion++
-	o.do(WriteSoon{})
+	o.emit(WriteSoon{})
 }
 
-// retireWorker marks in the roster that nothing runs on a worker.
-func (o *Orchestrator) retireWorker(w *worker) {
+// markIdle marks in the roster that no run can be on a worker.
+func (o *Orchestrator) markIdle(w *worker) {
 	if !w.idle {
-		w.idle, w.rostered, w.enrolling = true, false, false
+		w.idle, w.rostered, w.rosterPending = true, false, false
 		o.rosterVersion++
 	}
 }
@@ -184,98 +189,101 @@
 		return
 	}
 	w.listed, w.unlistedAt = false, o.now
-	o.do(Note{Event: EventWorkerListed, Worker: id, Outcome: "gone"})
+	o.emit(Note{Event: EventWorkerListed, Worker: id, Outcome: "gone"})
 }
 
-// LookRequest is what the next look at a worker says.
+// LookRequest holds the parameters of the next poll of a worker.
 type LookRequest struct {
 	Deadline  time.Duration // on the worker's clock; 0: leases are not extended
-	AckedUpto int
-	Brief     bool // the worker's figures are needed soon
+	AckedUpto int           // ends up to this number are in the store
+	Brief     bool          // the worker's figures are needed soon: the poll must not wait for changes
 }
 
-// NextLook returns the next look at a worker, and false if it is not watched.
+// NextLook returns the parameters of the next poll of a worker, and false if it must not be
+// polled any more.
 func (o *Orchestrator) NextLook(id string, now time.Time) (LookRequest, bool) {
 	w := o.workers[id]
 	if w == nil || o.deposed || o.leaving {
 		return LookRequest{}, false
 	}
 	o.now = now
-	r := LookRequest{AckedUpto: w.acked, Brief: w.load.serving > 0 && w.load.filling > 0 || len(w.runs) == 0 && !w.resolved}
-	// A look that gets no answer may still arrive. If each try extended the leases of an
-	// unreachable worker, its runs could never be given up.
-	if len(w.runs) > 0 && !w.failing {
+	r := LookRequest{AckedUpto: w.ackedUpto, Brief: w.load.latencyCritical > 0 && w.load.bestEffort > 0 || len(w.runs) == 0 && !w.resolved}
+	// A poll without an answer may still have arrived. If each try extended the leases of an
+	// unreachable worker, its runs would never expire.
+	if len(w.runs) > 0 && !w.unreachable {
 		r.Deadline, _ = o.deadline(w)
 	}
 	return r, true
 }
 
-// Acknowledged reports whether all ends that a worker has listed stand in the store.
+// Acknowledged reports whether all ends that a worker has listed are in the store.
 func (o *Orchestrator) Acknowledged(id string) bool {
 	w := o.workers[id]
-	return w == nil || len(w.ends) == 0
+	return w == nil || len(w.unackedEnds) == 0
 }
 
-// deadline returns the end of a lease that begins now, on the worker's clock, and keeps
-// in mind that the worker may run tasks until then.
+// deadline returns the end of a lease that begins now, on the worker's clock, and records
+// that the worker may run tasks until then. It returns false if the lease would be shorter
+// than minLease.
 func (o *Orchestrator) deadline(w *worker) (time.Duration, bool) {
 	lease := min(o.settings.Lease, o.confirmedAt.Add(o.settings.Authority).Sub(o.now))
 	if !w.hasClock || lease < minLease {
 		return 0, false
 	}
 	d := w.clock + o.now.Sub(w.clockAt) + lease
-	if end := w.clockAt.Add(lapse(d - w.clock)); end.After(w.expiry) {
-		w.expiry = end
+	if end := w.clockAt.Add(maxLeaseTime(d - w.clock)); end.After(w.leasesEnd) {
+		w.leasesEnd = end
 	}
 	return d.Truncate(time.Millisecond), true
 }
 
-// usable reports whether a worker may get new work, and why not.
+// usable reports whether a worker may get new work. If not, it returns why a step waits that
+// finds no usable worker.
 func (o *Orchestrator) usable(w *worker) (bool, string) {
 	switch {
-	case !w.listed && o.now.Sub(w.unlistedAt) > unlistedAfter:
-		return false, "not listed"
+	case !w.listed && o.now.Sub(w.unlistedAt) > unlistedGrace:
+		return false, "no worker is usable; the last one checked is not listed"
 	case w.Draining:
-		return false, "draining"
+		return false, "no worker is usable; the last one checked is draining"
 	case !w.resolved || !w.hasClock:
-		return false, "not reached by this leader yet"
-	case w.failing || w.doubt.After(w.lookSentAt):
-		return false, "does not answer"
+		return false, "no worker is usable; the last one checked has not answered this leader yet"
+	case w.unreachable || w.unansweredAt.After(w.pollSentAt):
+		return false, "no worker is usable; the last one checked does not answer"
 	case !w.rostered:
-		return false, "its place in the roster is not written yet"
-	case w.unaccounted > 0:
-		return false, "it still runs tasks of jobs that have ended"
-	case o.now.Before(w.avoidUntil):
-		return false, "its tasks failed"
+		return false, "no worker is usable; the last one checked has no roster entry in the store yet"
+	case w.unknownRuns > 0:
+		return false, "no worker is usable; the last one checked still runs tasks of jobs that have ended"
+	case o.now.Before(w.quarantinedUntil):
+		return false, "no worker is usable; the last one checked is quarantined after failed runs"
 	case w.probe != nil:
-		return false, "its tasks failed, one task at a time"
+		return false, "no worker is usable; the last one checked runs one task at a time after failed runs"
 	}
 	return true, ""
 }
 
-func (o *Orchestrator) lookAnswered(e LookAnswered) {
+func (o *Orchestrator) pollAnswered(e LookAnswered) {
 	w := o.workers[e.Worker]
-	if w == nil || !o.inherited || e.SentAt.Before(w.lookSentAt) {
-		return // without the jobs, ends would be acknowledged and runs stopped
+	if w == nil || !o.inherited || e.SentAt.Before(w.pollSentAt) {
+		return // before the jobs are inherited, ends would be acknowledged and runs stopped
 	}
-	if w.born != 0 && w.born != e.Born {
+	if w.incarnation != 0 && w.incarnation != e.Born {
 		o.workerRestarted(w, e)
 	}
-	if w.failing {
-		o.do(Note{Event: EventWorkerReached, Worker: w.ID, Outcome: "answers again", Age: o.silence(w)})
+	if w.unreachable {
+		o.emit(Note{Event: EventWorkerReached, Worker: w.ID, Outcome: "answers again", Age: o.timeSinceAnswer(w)})
 	}
 	if !w.resolved {
 		w.resolved, w.inherited = true, false
 		o.passDue = true
 	}
-	w.born, w.clock, w.clockAt, w.hasClock = e.Born, e.Clock, e.ReceivedAt, true
-	w.lookSentAt, w.answeredAt, w.failing = e.SentAt, e.ReceivedAt, false
+	w.incarnation, w.clock, w.clockAt, w.hasClock = e.Born, e.Clock, e.ReceivedAt, true
+	w.pollSentAt, w.answeredAt, w.unreachable = e.SentAt, e.ReceivedAt, false
 	if e.DrainLeft > 0 {
-		w.drainLeft, w.drainSeen = e.DrainLeft, o.now
+		w.drainLeft, w.drainLeftAt = e.DrainLeft, o.now
 	}
 	for _, row := range e.Ended {
-		if row.Number > w.seen {
-			w.seen = row.Number
+		if row.Number > w.lastAppliedEnd {
+			w.lastAppliedEnd = row.Number
 			o.applyEnd(w, row)
 		}
 	}
@@ -284,51 +292,52 @@
 	o.passDue = true
 }
 
-// applyRunning compares a worker's list of runs with what the leader believes.
+// applyRunning reconciles the leader's runs on a worker with the runs that the worker lists.
 func (o *Orchestrator) applyRunning(w *worker, e LookAnswered) {
 	tail := 0.0
-	w.unaccounted = 0
+	w.unknownRuns = 0
 	for _, row := range e.Running {
 		r := w.runs[runKey{row.Task, row.Run}]
 		if r == nil {
 			r = o.adopt(w, row)
 		}
 		if r == nil {
-			w.unaccounted++
+			w.unknownRuns++
 			continue
 		}
-		o.observe(r, row)
-		tail = max(tail, r.tail)
+		o.updateRun(r, row)
+		tail = max(tail, r.tailRatio)
 	}
 	for _, r := range w.missing(e) {
-		o.do(Note{Event: EventRunLost, Job: r.task.job().ID, Task: r.task.name, Run: r.number, Worker: w.ID,
+		o.emit(Note{Event: EventRunLost, Job: r.task.job().ID, Task: r.task.name, Run: r.number, Worker: w.ID,
 			Outcome: "not listed", Reason: "the worker lists it neither as running nor as ended"})
-		o.drop(r)
+		o.removeRun(r)
 	}
-	if w.load.serving > 0 {
-		w.tail, w.tailAt = tail, e.ReceivedAt
-		o.learnPressure(w, e.Running)
+	if w.load.latencyCritical > 0 {
+		w.tailRatio, w.tailAt = tail, e.ReceivedAt
+		o.updateInterference(w, e.Running)
 	} else {
-		w.tail = 0
+		w.tailRatio = 0
 	}
-	o.pacing(w)
+	o.throttle(w)
 }
 
-// workerRestarted starts the account of a new incarnation of a worker. Its look decides
-// which runs are left: a start may have reached the new incarnation already.
+// workerRestarted resets the state of a worker for its new incarnation. The poll's answer
+// decides which runs are left: a start may have reached the new incarnation already.
 func (o *Orchestrator) workerRestarted(w *worker, e LookAnswered) {
-	o.do(Note{Event: EventWorkerLost, Worker: w.ID, Outcome: "restarted", Reason: "a new incarnation answers",
+	o.emit(Note{Event: EventWorkerLost, Worker: w.ID, Outcome: "restarted", Reason: "a new incarnation answers",
 		Figures: fmt.Sprintf("Runs=%d", len(w.runs))})
 	for _, r := range w.missing(e) {
-		o.lapsed(r)
+		o.expireRun(r)
 	}
-	w.seen, w.acked, w.ends = 0, 0, nil
-	w.streak, w.avoidUntil, w.probing, w.probe, w.slow = 0, time.Time{}, false, nil, 1
-	// Orders that were sent with a deadline of the old clock may count in full.
-	w.expiry = o.now.Add(lapse(o.settings.MaxLease))
+	w.lastAppliedEnd, w.ackedUpto, w.unackedEnds = 0, 0, nil
+	w.failureStreak, w.quarantinedUntil, w.probing, w.probe, w.slowdown = 0, time.Time{}, false, nil, 1
+	// Starts that were sent with a deadline on the old incarnation's clock may get a lease of
+	// the full length.
+	w.leasesEnd = o.now.Add(maxLeaseTime(o.settings.MaxLease))
 }
 
-// missing returns the runs that a look must list if they still run, and does not.
+// missing returns the runs that a poll's answer would list if they still ran, and does not.
 func (w *worker) missing(e LookAnswered) []*run {
 	listed := make(map[runKey]bool, len(e.Running))
 	for _, row := range e.Running {
@@ -336,145 +345,146 @@
 	}
 	var rs []*run
 	for k, r := range w.runs {
-		if !listed[k] && r.settledBefore(e.SentAt) {
+		if !listed[k] && r.ackedBefore(e.SentAt) {
 			rs = append(rs, r)
 		}
 	}
 	return rs
 }
 
-// settledBefore reports whether a look that was sent at a time must list the run if it
-// still runs.
-func (r *run) settledBefore(t time.Time) bool {
-	return !r.settledAt.IsZero() && r.settledAt.Before(t)
+// ackedBefore reports whether the worker had answered the run's last start or stop before t,
+// so that the answer to a poll sent at t lists the run if it still runs.
+func (r *run) ackedBefore(t time.Time) bool {
+	return !r.ackedAt.IsZero() && r.ackedAt.Before(t)
 }
 
-func (o *Orchestrator) lookFailed(e LookFailed) {
+func (o *Orchestrator) pollFailed(e LookFailed) {
 	w := o.workers[e.Worker]
 	if w == nil {
 		return
 	}
 	switch {
 	case e.Fenced:
-		o.stepDown("worker " + w.ID + " knows a newer leader")
+		o.stepDown("worker " + w.ID + " has accepted a later leader")
 	case e.Replaced:
-		o.do(Note{Event: EventWorkerLost, Worker: w.ID, Outcome: "replaced", Reason: "another worker answers at its address"})
+		o.emit(Note{Event: EventWorkerLost, Worker: w.ID, Outcome: "replaced", Reason: "another worker answers at its address"})
 		o.workerEnded(w)
-		w.failing = true
-	case !w.failing:
-		w.failing = true
-		o.do(Note{Event: EventWorkerLost, Worker: w.ID, Outcome: "unreachable", Reason: "a look got no answer",
-			Age: o.silence(w), Figures: fmt.Sprintf("Runs=%d LeaseLeft=%s", len(w.runs), w.expiry.Sub(o.now).Round(time.Millisecond))})
+		w.unreachable = true
+	case !w.unreachable:
+		w.unreachable = true
+		o.emit(Note{Event: EventWorkerLost, Worker: w.ID, Outcome: "unreachable", Reason: "a look got no answer",
+			Age: o.timeSinceAnswer(w), Figures: fmt.Sprintf("Runs=%d LeaseLeft=%s", len(w.runs), w.leasesEnd.Sub(o.now).Round(time.Millisecond))})
 	}
 }
 
-// silence returns how long a worker has not answered this leader, 0 if it never did.
-func (o *Orchestrator) silence(w *worker) time.Duration {
+// timeSinceAnswer returns the time since a worker last answered a poll of this leader, 0 if
+// it never did.
+func (o *Orchestrator) timeSinceAnswer(w *worker) time.Duration {
 	if w.answeredAt.IsZero() {
 		return 0
 	}
 	return o.now.Sub(w.answeredAt)
 }
 
-// workerEnded drops everything on a worker on which nothing runs any more.
+// workerEnded expires all runs of a worker whose process or leases have ended.
 func (o *Orchestrator) workerEnded(w *worker) {
 	for _, r := range w.runs {
-		o.lapsed(r)
+		o.expireRun(r)
 	}
-	o.retireWorker(w)
+	o.markIdle(w)
 	w.resolved, w.inherited = true, false
 	o.passDue = true
 }
 
-// tickWorker ends leases and repeats orders.
+// tickWorker expires a worker's leases, updates its roster entry and resends commands.
 func (o *Orchestrator) tickWorker(w *worker) {
-	unreached := w.failing || !w.hasClock
-	// A newer leader may have reached the worker and extended its leases. That they have
-	// ended is certain only if nobody else had been elected by then.
-	if unreached && !w.idle && o.now.After(w.expiry) && o.confirmedAt.After(w.expiry) {
+	unreachable := w.unreachable || !w.hasClock
+	// A later leader may have reached the worker and extended its leases. They have certainly
+	// ended only if no other leader had been elected by then.
+	if unreachable && !w.idle && o.now.After(w.leasesEnd) && o.confirmedAt.After(w.leasesEnd) {
 		if len(w.runs) > 0 || w.inherited {
-			o.do(Note{Event: EventWorkerLost, Worker: w.ID, Outcome: "leases ended", Age: o.silence(w),
+			o.emit(Note{Event: EventWorkerLost, Worker: w.ID, Outcome: "leases ended", Age: o.timeSinceAnswer(w),
 				Figures: fmt.Sprintf("Runs=%d", len(w.runs))})
 		}
 		o.workerEnded(w)
 	}
-	if unreached && w.idle && !w.listed && o.now.Sub(w.unlistedAt) > unlistedAfter {
+	if unreachable && w.idle && !w.listed && o.now.Sub(w.unlistedAt) > unlistedGrace {
 		delete(o.workers, w.ID)
-		o.order = nil
+		o.sortedWorkers = nil
 		o.rosterVersion++
-		o.do(ForgetWorker{ID: w.ID})
+		o.emit(ForgetWorker{ID: w.ID})
 		return
 	}
 	switch {
 	case w.Draining && len(w.runs) == 0 && w.resolved:
-		// It gets no starts any more: a successor need not wait for it when it has gone.
-		o.retireWorker(w)
-	case !unreached && w.listed:
+		// It gets no more starts, and a successor need not wait for its leases.
+		o.markIdle(w)
+	case !unreachable && w.listed:
 		o.enroll(w)
 	}
 	if w.Draining {
 		o.evacuate(w)
 	}
 	for _, r := range w.runs {
-		o.tickRun(r)
+		o.resendCommands(r)
 	}
-	if w.load.filling > 0 && w.load.serving > 0 {
-		o.pacing(w)
+	if w.load.bestEffort > 0 && w.load.latencyCritical > 0 {
+		o.throttle(w)
 	}
 }
 
-// advanceAcks acknowledges the ends whose jobs' records stand in the store.
+// advanceAcks marks ends as acknowledged, in order, if their jobs' records are in the store.
 func (o *Orchestrator) advanceAcks(w *worker) {
 	n := 0
-	for _, e := range w.ends {
-		if e.job != nil && e.job.written < e.version {
+	for _, e := range w.unackedEnds {
+		if e.job != nil && e.job.writtenVersion < e.version {
 			break
 		}
-		w.acked = e.number
+		w.ackedUpto = e.number
 		n++
 	}
-	w.ends = slices.Delete(w.ends, 0, n)
+	w.unackedEnds = slices.Delete(w.unackedEnds, 0, n)
 }
 
-// judge keeps account of a worker's failures. Workers that fail what they start look
-// idle, so that they would attract all work.
-func (o *Orchestrator) judge(w *worker, j *job, failed bool) {
+// recordRunOutcome updates a worker's streak of failed runs and quarantines it if that is too
+// long. A worker that fails every run at once looks idle and would attract all work.
+func (o *Orchestrator) recordRunOutcome(w *worker, j *job, failed bool) {
 	if !failed {
-		w.streak, w.probing, w.probe = 0, false, nil
+		w.failureStreak, w.probing, w.probe = 0, false, nil
 		return
 	}
-	if w.streakJob != j.ID || w.probing {
-		w.streak++
+	if w.lastFailedJob != j.ID || w.probing {
+		w.failureStreak++
 	}
-	w.streakJob = j.ID
-	if w.streak >= failureStreak {
-		o.quarantine(w, Note{Reason: "runs of several jobs failed in a row", Figures: fmt.Sprintf("Failures=%d For=%s", w.streak, avoidFor)})
+	w.lastFailedJob = j.ID
+	if w.failureStreak >= quarantineStreak {
+		o.quarantine(w, Note{Reason: "runs of several jobs failed in a row", Figures: fmt.Sprintf("Failures=%d For=%s", w.failureStreak, quarantineTime)})
 	}
 }
 
-// quarantine gives a worker no new work for avoidFor, and then one task at a time until
-// one ends well, or is a long-running task that is at work. What runs there already goes
-// on, and is no obstacle. n says why.
+// quarantine gives a worker no new work for quarantineTime, and then one task at a time until
+// one succeeds or a long-running one has run for probeDuration. Its other runs continue. n
+// holds the reason.
 func (o *Orchestrator) quarantine(w *worker, n Note) {
-	w.avoidUntil, w.probing, w.probe = o.now.Add(avoidFor), true, nil
+	w.quarantinedUntil, w.probing, w.probe = o.now.Add(quarantineTime), true, nil
 	n.Event, n.Worker, n.Outcome = EventWorkerAvoided, w.ID, "avoided"
-	o.do(n)
+	o.emit(n)
 }
 
-// evacuate moves tasks off a draining worker that would not end before it leaves.
+// evacuate stops the runs on a draining worker that would not end before it leaves.
 func (o *Orchestrator) evacuate(w *worker) {
 	left := w.drainLeft
 	if left == 0 {
-		left = drainTime
+		left = defaultDrainTime
 	}
-	left -= o.now.Sub(w.drainSeen)
+	left -= o.now.Sub(w.drainLeftAt)
 	for _, r := range w.runs {
-		if r.phase != phaseRunning || r.remaining(o.now, o.shape(r.task.job().Policy.Queue).ratio) <= left {
+		if r.phase != phaseRunning || r.remaining(o.now, o.stats(r.task.job().Policy.Queue).runTimeRatio) <= left {
 			continue
 		}
-		if !r.task.step.LongRunning && !r.task.step.Checkpoints && r.percent > 50 {
-			continue // worth the chance that the worker stays longer than it says
+		if !r.task.step.LongRunning && !r.task.step.Checkpoints && r.progressPercent > 50 {
+			continue // more than half done, and the worker may stay longer than it reports
 		}
-		o.stop(r, "its worker is draining")
+		o.stop(r, "the worker is draining")
 	}
 }
--- a/internal/orchestrator/world_test.go
+++ b/internal/orchestrator/world_test.go
@@ -15,35 +15,35 @@
 // world is a set of workers, a store and leaders in virtual time. It carries out orders
 // as the platform describes them and checks the guarantees as they are broken.
 type world struct {
-	t       reporter
-	now     time.Time
-	rnd     *rand.Rand
-	epoch   uint64
-	workers map[string]*fakeWorker
-	leaders []*fakeLeader
-	jobs    map[string]orchestrator.Job
-	stored  map[string]orchestrator.Record
-	cancels map[string]bool
-	roster  orchestrator.Roster
-	head    int // leader whose writes the store accepts
-	late    []lateOrder
-	done    map[string]bool // tasks whose end as done was acknowledged
-	failed  map[string]int  // acknowledged failures
-	starts  int
-	faults  faults
-	succeed func(task string, run int) bool // whether a run ends as done
-	took    func(task string, w *fakeWorker) time.Duration
-	notes   []orchestrator.Note
-	offset  time.Duration
+	t               reporter
+	now             time.Time
+	rng             *rand.Rand
+	epoch           uint64
+	workers         map[string]*fakeWorker
+	leaders         []*fakeLeader
+	jobs            map[string]orchestrator.Job
+	stored          map[string]orchestrator.Record
+	cancels         map[string]bool
+	roster          orchestrator.Roster
+	currentLeader   int // leader whose writes the store accepts
+	pendingCommands []pendingCommand
+	done            map[string]bool // tasks whose end as done was acknowledged
+	failed          map[string]int  // acknowledged failures
+	starts          int
+	faults          faults
+	succeeds        func(task string, run int) bool // whether a run ends as done
+	runTime         func(task string, w *fakeWorker) time.Duration
+	notes           []orchestrator.Note
+	wallOffset      time.Duration
 }
 
 // faults are probabilities.
 type faults struct {
-	lost       float64 // an order gets no answer and is not carried out
-	appliedLat float64 // an order gets no answer and is carried out 2 to 12 s later
+	dropped     float64 // an order gets no answer and is not carried out
+	appliedLate float64 // an order gets no answer and is carried out 2 to 12 s later
 }
 
-type lateOrder struct {
+type pendingCommand struct {
 	at     time.Time
 	worker string
 	leader *fakeLeader
@@ -51,46 +51,46 @@
 }
 
 type fakeRun struct {
-	task     string
-	number   int
-	began    time.Time
-	ends     time.Time
-	saved    string
-	stopping bool
-	pace     int
+	task      string
+	number    int
+	startedAt time.Time
+	endsAt    time.Time
+	saved     string
+	stopping  bool
+	speed     int
 }
 
 type fakeWorker struct {
-	entry   orchestrator.WorkerEntry
-	born    int64
-	start   time.Time
-	fence   uint64
-	lease   time.Duration // on the worker's clock
-	runs    map[string]*fakeRun
-	highest map[string]int // runs that were stopped or have ended
-	ended   []orchestrator.EndedRow
-	count   int
-	acked   int
-	stale   int // ends up to this number were followed by the end of the lease
-	cut     map[*fakeLeader]bool
-	dead    bool
-	grey    bool // fails what it starts
-	still   bool // its tasks stand still
-	deaf    int  // stops that it answers without carrying them out
-	tails   map[string]int
+	entry              orchestrator.WorkerEntry
+	incarnation        int64
+	startedAt          time.Time
+	fence              uint64
+	lease              time.Duration // on the worker's clock
+	runs               map[string]*fakeRun
+	lastEndedRun       map[string]int // runs that were stopped or have ended
+	ended              []orchestrator.EndedRow
+	endCount           int
+	ackedUpto          int
+	endsBeforeLeaseEnd int // ends up to this number were followed by the end of the lease
+	cut                map[*fakeLeader]bool
+	dead               bool
+	failsTasks         bool // fails what it starts
+	hangsTasks         bool // its tasks stand still
+	ignoredStops       int  // stops that it answers without carrying them out
+	tailLatencyMs      map[string]int
 }
 
 type fakeLeader struct {
-	w       *world
-	id      int
-	epoch   uint64
-	o       *orchestrator.Orchestrator
-	watched map[string]bool
-	looked  map[string]time.Time
-	noStore bool
-	over    bool
-	frozen  bool
-	inbox   []orchestrator.Event
+	w        *world
+	id       int
+	epoch    uint64
+	o        *orchestrator.Orchestrator
+	watched  map[string]bool
+	polledAt map[string]time.Time
+	noStore  bool
+	deposed  bool
+	frozen   bool
+	inbox    []orchestrator.Event
 }
 
 // reporter fails a test: *testing.T or *rapid.T.
@@ -100,12 +100,12 @@
 
 func newWorld(t reporter, seed uint64) *world {
 	return &world{
-		t: t, now: time.Unix(1e9, 0), rnd: rand.New(rand.NewPCG(seed, 1)),
+		t: t, now: time.Unix(1e9, 0), rng: rand.New(rand.NewPCG(seed, 1)),
 		workers: make(map[string]*fakeWorker), jobs: make(map[string]orchestrator.Job),
 		stored: make(map[string]orchestrator.Record), cancels: make(map[string]bool),
 		done: make(map[string]bool), failed: make(map[string]int),
-		succeed: func(string, int) bool { return true },
-		took:    func(string, *fakeWorker) time.Duration { return time.Second },
+		succeeds: func(string, int) bool { return true },
+		runTime:  func(string, *fakeWorker) time.Duration { return time.Second },
 	}
 }
 
@@ -125,8 +125,8 @@
 	k := &fakeWorker{
 		entry: orchestrator.WorkerEntry{ID: name, Service: "s", Room: room, Rack: rack, Labels: []string{"a", rack},
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(len(w.workers) + 1)}), 80)},
-		born: w.now.UnixMilli(), start: w.now, runs: make(map[string]*fakeRun), highest: make(map[string]int),
-		cut: make(map[*fakeLeader]bool), tails: make(map[string]int),
+		incarnation: w.now.UnixMilli(), startedAt: w.now, runs: make(map[string]*fakeRun), lastEndedRun: make(map[string]int),
+		cut: make(map[*fakeLeader]bool), tailLatencyMs: make(map[string]int),
 	}
 	w.workers[name] = k
 	return k
@@ -145,13 +145,13 @@
 // elect makes a new leader, to which the store listens from then on.
 func (w *world) elect(handedOff bool) *fakeLeader {
 	w.epoch += 100
-	l := &fakeLeader{w: w, id: len(w.leaders), epoch: w.epoch, watched: make(map[string]bool), looked: make(map[string]time.Time)}
+	l := &fakeLeader{w: w, id: len(w.leaders), epoch: w.epoch, watched: make(map[string]bool), polledAt: make(map[string]time.Time)}
 	l.o = orchestrator.New(orchestrator.Settings{
 		Epoch: w.epoch, ElectedAt: w.now, ConfirmedAt: w.now, Lease: 4500 * time.Millisecond, Authority: 9 * time.Second,
 		MaxLease: 10 * time.Second, Retention: time.Hour, FarFactor: 3,
 	})
 	w.leaders = append(w.leaders, l)
-	w.head = l.id
+	w.currentLeader = l.id
 	inherited := orchestrator.Inherited{Roster: w.roster, HandedOff: handedOff}
 	for _, id := range slices.Sorted(maps.Keys(w.jobs)) {
 		j := orchestrator.InheritedJob{Job: w.jobs[id], Cancelled: w.cancels[id]}
@@ -169,7 +169,7 @@
 	return l
 }
 
-func (w *world) leader() *fakeLeader { return w.leaders[w.head] }
+func (w *world) leader() *fakeLeader { return w.leaders[w.currentLeader] }
 
 // submit stores a job under the present leader.
 func (w *world) submit(j orchestrator.Job) {
@@ -190,7 +190,7 @@
 }
 
 func (l *fakeLeader) step(e orchestrator.Event) {
-	if l.over {
+	if l.deposed {
 		return
 	}
 	if l.frozen {
@@ -201,11 +201,11 @@
 		return
 	}
 	for _, a := range l.o.Step(e, l.w.now) {
-		l.carryOut(a)
+		l.handleAction(a)
 	}
 }
 
-func (l *fakeLeader) carryOut(a orchestrator.Action) {
+func (l *fakeLeader) handleAction(a orchestrator.Action) {
 	w := l.w
 	switch a := a.(type) {
 	case orchestrator.WatchWorker:
@@ -213,18 +213,18 @@
 	case orchestrator.ForgetWorker:
 		delete(l.watched, a.ID)
 	case orchestrator.StepDown:
-		l.over = true
+		l.deposed = true
 	case orchestrator.Note:
 		w.notes = append(w.notes, a)
 	case orchestrator.StartRun, orchestrator.StopRun, orchestrator.PaceRun:
 		// Orders arrive after the step that gave them.
-		w.late = append(w.late, lateOrder{at: w.now.Add(time.Millisecond), leader: l, action: a})
+		w.pendingCommands = append(w.pendingCommands, pendingCommand{at: w.now.Add(time.Millisecond), leader: l, action: a})
 	case orchestrator.WriteSoon, orchestrator.AskAdvice:
 	}
 }
 
 // deliver carries out an order, or loses it.
-func (w *world) deliver(o lateOrder) {
+func (w *world) deliver(o pendingCommand) {
 	answered := o.worker == ""
 	id := ""
 	switch a := o.action.(type) {
@@ -243,24 +243,24 @@
 		return
 	}
 	if answered {
-		switch r := w.rnd.Float64(); {
-		case r < w.faults.lost:
+		switch r := w.rng.Float64(); {
+		case r < w.faults.dropped:
 			w.answer(o, orchestrator.StartUnknown)
 			return
-		case r < w.faults.lost+w.faults.appliedLat:
+		case r < w.faults.dropped+w.faults.appliedLate:
 			w.answer(o, orchestrator.StartUnknown)
-			o.worker, o.at = id, w.now.Add(2*time.Second+time.Duration(w.rnd.Int64N(int64(10*time.Second))))
-			w.late = append(w.late, o)
+			o.worker, o.at = id, w.now.Add(2*time.Second+time.Duration(w.rng.Int64N(int64(10*time.Second))))
+			w.pendingCommands = append(w.pendingCommands, o)
 			return
 		}
 	}
-	outcome := k.order(w, o)
+	outcome := k.execute(w, o)
 	if answered {
 		w.answer(o, outcome)
 	}
 }
 
-func (w *world) answer(o lateOrder, outcome orchestrator.StartOutcome) {
+func (w *world) answer(o pendingCommand, outcome orchestrator.StartOutcome) {
 	answered := outcome != orchestrator.StartUnknown
 	switch a := o.action.(type) {
 	case orchestrator.StartRun:
@@ -274,10 +274,10 @@
 
 // clock is 2% slow, the most that the platform allows.
 func (k *fakeWorker) clock(now time.Time) time.Duration {
-	return time.Duration(0.98 * float64(now.Sub(k.start)))
+	return time.Duration(0.98 * float64(now.Sub(k.startedAt)))
 }
 
-func (k *fakeWorker) order(w *world, o lateOrder) orchestrator.StartOutcome {
+func (k *fakeWorker) execute(w *world, o pendingCommand) orchestrator.StartOutcome {
 	if o.leader.epoch < k.fence {
 		return orchestrator.StartFenced
 	}
@@ -286,17 +286,17 @@
 	case orchestrator.StartRun:
 		return k.startRun(w, a)
 	case orchestrator.StopRun:
-		if k.deaf > 0 {
-			k.deaf--
+		if k.ignoredStops > 0 {
+			k.ignoredStops--
 			return orchestrator.StartAccepted
 		}
-		k.highest[a.Task] = max(k.highest[a.Task], a.Run)
+		k.lastEndedRun[a.Task] = max(k.lastEndedRun[a.Task], a.Run)
 		if r := k.runs[a.Task]; r != nil && r.number == a.Run && !r.stopping {
-			r.stopping, r.ends = true, w.now.Add(300*time.Millisecond)
+			r.stopping, r.endsAt = true, w.now.Add(300*time.Millisecond)
 		}
 	case orchestrator.PaceRun:
 		if r := k.runs[a.Task]; r != nil && r.number == a.Run {
-			r.pace = a.Percent
+			r.speed = a.Percent
 		}
 	}
 	return orchestrator.StartAccepted
@@ -306,7 +306,7 @@
 	if r := k.runs[a.Task]; r != nil && r.number == a.Run {
 		return orchestrator.StartAccepted
 	}
-	if a.Run <= k.highest[a.Task] || k.runs[a.Task] != nil {
+	if a.Run <= k.lastEndedRun[a.Task] || k.runs[a.Task] != nil {
 		return orchestrator.StartOld
 	}
 	if a.Deadline <= k.clock(w.now) {
@@ -315,7 +315,7 @@
 	k.lease = max(k.lease, min(a.Deadline, k.clock(w.now)+10*time.Second))
 	w.checkStart(k, a)
 	w.starts++
-	r := &fakeRun{task: a.Task, number: a.Run, began: w.now, ends: w.now.Add(w.took(a.Task, k)), saved: a.Saved, pace: 100}
+	r := &fakeRun{task: a.Task, number: a.Run, startedAt: w.now, endsAt: w.now.Add(w.runTime(a.Task, k)), saved: a.Saved, speed: 100}
 	k.runs[a.Task] = r
 	return orchestrator.StartAccepted
 }
@@ -330,14 +330,14 @@
 	s := j.Steps[index]
 	for n, other := range w.workers {
 		if r := other.runs[a.Task]; r != nil && !other.dead && !s.Speculative {
-			w.t.Fatalf("%s: run %d of %s starts on %s while run %d is on %s%s", w.since(), a.Run, a.Task, k.entry.ID, r.number, n, w.history(a.Task))
+			w.t.Fatalf("%s: run %d of %s starts on %s while run %d is on %s%s", w.elapsed(), a.Run, a.Task, k.entry.ID, r.number, n, w.history(a.Task))
 		}
 	}
 	if w.done[a.Task] {
-		w.t.Fatalf("%s: run %d of %s starts after an acknowledged end as done%s", w.since(), a.Run, a.Task, w.history(a.Task))
+		w.t.Fatalf("%s: run %d of %s starts after an acknowledged end as done%s", w.elapsed(), a.Run, a.Task, w.history(a.Task))
 	}
 	if !s.LongRunning && w.failed[a.Task] >= j.Policy.Attempts {
-		w.t.Fatalf("%s: run %d of %s starts after %d failures", w.since(), a.Run, a.Task, w.failed[a.Task])
+		w.t.Fatalf("%s: run %d of %s starts after %d failures", w.elapsed(), a.Run, a.Task, w.failed[a.Task])
 	}
 	used := orchestrator.Resources{}
 	for _, r := range k.runs {
@@ -347,7 +347,7 @@
 	}
 	size := w.sizeOf(a.Task)
 	if used.CPU+size.CPU > k.entry.Room.CPU || used.Memory+size.Memory > k.entry.Room.Memory {
-		w.t.Fatalf("%s: %s does not fit on %s beside %+v: %v%s", w.since(), a.Task, k.entry.ID, used, slices.Sorted(maps.Keys(k.runs)), w.workerHistory(k.entry.ID))
+		w.t.Fatalf("%s: %s does not fit on %s beside %+v: %v%s", w.elapsed(), a.Task, k.entry.ID, used, slices.Sorted(maps.Keys(k.runs)), w.workerHistory(k.entry.ID))
 	}
 }
 
@@ -386,13 +386,13 @@
 	return size
 }
 
-func (w *world) since() time.Duration { return w.now.Sub(time.Unix(1e9, 0)).Round(time.Millisecond) }
+func (w *world) elapsed() time.Duration { return w.now.Sub(time.Unix(1e9, 0)).Round(time.Millisecond) }
 
-// pass ends runs and leases on a worker.
-func (k *fakeWorker) pass(w *world) {
+// advance ends runs and leases on a worker.
+func (k *fakeWorker) advance(w *world) {
 	lapsed := k.clock(w.now) >= k.lease
 	if lapsed {
-		k.stale = k.count
+		k.endsBeforeLeaseEnd = k.endCount
 	}
 	for _, name := range slices.Sorted(maps.Keys(k.runs)) {
 		r := k.runs[name]
@@ -400,11 +400,11 @@
 		switch {
 		case lapsed:
 			how = orchestrator.EndLapsed
-		case r.stopping && !w.now.Before(r.ends):
+		case r.stopping && !w.now.Before(r.endsAt):
 			how = orchestrator.EndStopped
-		case !r.stopping && !k.still && !w.now.Before(r.ends) && !w.lasting(name):
+		case !r.stopping && !k.hangsTasks && !w.now.Before(r.endsAt) && !w.longRunning(name):
 			how = orchestrator.EndDone
-			if k.grey || !w.succeed(name, r.number) {
+			if k.failsTasks || !w.succeeds(name, r.number) {
 				how = orchestrator.EndFailed
 			}
 		}
@@ -412,13 +412,13 @@
 			continue
 		}
 		delete(k.runs, name)
-		k.highest[name] = max(k.highest[name], r.number)
-		k.count++
-		k.ended = append(k.ended, orchestrator.EndedRow{Number: k.count, Task: name, Run: r.number, How: how, Saved: r.saved})
+		k.lastEndedRun[name] = max(k.lastEndedRun[name], r.number)
+		k.endCount++
+		k.ended = append(k.ended, orchestrator.EndedRow{Number: k.endCount, Task: name, Run: r.number, How: how, Saved: r.saved})
 	}
 }
 
-func (w *world) lasting(task string) bool {
+func (w *world) longRunning(task string) bool {
 	j := w.jobs[strings.SplitN(task, ".", 2)[0]]
 	var number, index, k int
 	if _, err := fmt.Sscanf(task[len(j.ID):], ".%d.%d.%d", &number, &index, &k); err != nil {
@@ -427,11 +427,11 @@
 	return j.Steps[index].LongRunning
 }
 
-// look is one look of a leader at a worker.
-func (l *fakeLeader) look(k *fakeWorker) {
+// poll is one poll of a leader at a worker.
+func (l *fakeLeader) poll(k *fakeWorker) {
 	w := l.w
 	r, ok := l.o.NextLook(k.entry.ID, w.now)
-	if !ok || l.over || l.frozen {
+	if !ok || l.deposed || l.frozen {
 		return
 	}
 	if k.dead || k.cut[l] {
@@ -447,20 +447,20 @@
 		k.lease = max(k.lease, min(r.Deadline, k.clock(w.now)+10*time.Second))
 	}
 	k.acknowledge(w, r.AckedUpto)
-	a := orchestrator.LookAnswered{Worker: k.entry.ID, Born: k.born, Clock: k.clock(w.now), SentAt: w.now, ReceivedAt: w.now}
+	a := orchestrator.LookAnswered{Worker: k.entry.ID, Born: k.incarnation, Clock: k.clock(w.now), SentAt: w.now, ReceivedAt: w.now}
 	for _, name := range slices.Sorted(maps.Keys(k.runs)) {
 		run := k.runs[name]
 		percent := 100
-		if !w.lasting(name) {
-			percent = min(99, int(100*w.now.Sub(run.began)/max(1, run.ends.Sub(run.began))))
+		if !w.longRunning(name) {
+			percent = min(99, int(100*w.now.Sub(run.startedAt)/max(1, run.endsAt.Sub(run.startedAt))))
 		}
-		if k.still {
+		if k.hangsTasks {
 			percent = 1
 		}
-		a.Running = append(a.Running, orchestrator.RunningRow{Task: name, Run: run.number, Percent: percent, Figure: k.tails[name]})
+		a.Running = append(a.Running, orchestrator.RunningRow{Task: name, Run: run.number, Percent: percent, Figure: k.tailLatencyMs[name]})
 	}
 	for _, e := range k.ended {
-		if e.Number > k.acked {
+		if e.Number > k.ackedUpto {
 			a.Ended = append(a.Ended, e)
 		}
 	}
@@ -469,7 +469,7 @@
 
 func (k *fakeWorker) acknowledge(w *world, upto int) {
 	for _, e := range k.ended {
-		if e.Number > max(k.acked, k.stale) && e.Number <= upto {
+		if e.Number > max(k.ackedUpto, k.endsBeforeLeaseEnd) && e.Number <= upto {
 			switch e.How {
 			case orchestrator.EndDone:
 				w.done[e.Task] = true
@@ -479,16 +479,16 @@
 			}
 		}
 	}
-	k.acked = max(k.acked, upto)
+	k.ackedUpto = max(k.ackedUpto, upto)
 }
 
 // write brings a leader's changes to the store, which only listens to the newest one.
 func (l *fakeLeader) write(all bool) {
-	if l.noStore || l.over || l.frozen {
+	if l.noStore || l.deposed || l.frozen {
 		return
 	}
-	if l.id != l.w.head {
-		l.over = true
+	if l.id != l.w.currentLeader {
+		l.deposed = true
 		return
 	}
 	b, _ := l.o.NextBatch(9, all, l.w.now)
@@ -524,7 +524,7 @@
 		}
 		l.write(true)
 	}
-	l.over = true
+	l.deposed = true
 	return clean
 }
 
@@ -538,23 +538,23 @@
 }
 
 func (w *world) tick(time.Duration) {
-	orders := w.late
-	w.late = nil
+	orders := w.pendingCommands
+	w.pendingCommands = nil
 	for _, o := range orders {
 		if o.at.After(w.now) {
-			w.late = append(w.late, o)
+			w.pendingCommands = append(w.pendingCommands, o)
 			continue
 		}
 		w.deliver(o)
 	}
-	ms := w.since().Milliseconds()
+	ms := w.elapsed().Milliseconds()
 	for _, n := range slices.Sorted(maps.Keys(w.workers)) {
 		if k := w.workers[n]; !k.dead {
-			k.pass(w)
+			k.advance(w)
 		}
 	}
 	for _, l := range w.leaders {
-		if l.over || l.frozen {
+		if l.deposed || l.frozen {
 			continue
 		}
 		inbox := l.inbox
@@ -563,7 +563,7 @@
 			l.step(e)
 		}
 		if ms%50 == 0 {
-			l.step(orchestrator.Tick{WallOffset: w.offset})
+			l.step(orchestrator.Tick{WallOffset: w.wallOffset})
 		}
 		if ms%100 == 0 {
 			l.write(false)
@@ -573,7 +573,7 @@
 		}
 		for i, n := range slices.Sorted(maps.Keys(l.watched)) {
 			if (ms/10)%10 == int64(i%10) {
-				l.look(w.workers[n])
+				l.poll(w.workers[n])
 			}
 		}
 	}
@@ -585,8 +585,8 @@
 	return s
 }
 
-// where returns the workers on which tasks of a job run.
-func (w *world) where(id string) []string {
+// runningOn returns the workers on which tasks of a job run.
+func (w *world) runningOn(id string) []string {
 	var ws []string
 	for _, n := range slices.Sorted(maps.Keys(w.workers)) {
 		for t := range w.workers[n].runs {
@@ -602,6 +602,6 @@
 	return orchestrator.Resources{CPU: int(1000 * n), Memory: 1000 * gigabytes}
 }
 
-func simple(id string, tasks int, size orchestrator.Resources) orchestrator.Job {
+func simpleJob(id string, tasks int, size orchestrator.Resources) orchestrator.Job {
 	return orchestrator.Job{ID: id, Steps: []orchestrator.Step{{Count: tasks, Size: size, Estimate: time.Second}}}
 }
