--- a/internal/orchestrator/bench_test.go
+++ b/internal/orchestrator/bench_test.go
@@ -8,10 +8,10 @@
 	"peridotpitch/internal/orchestrator"
 )
 
-// BenchmarkPassOverLongQueue measures one scheduling pass over a long queue: 800 steps that wait and
-// find no room, on 490 workers with tasks of five images with a latency target.
+// BenchmarkPassOverLongQueue measures one scheduling pass over 800 waiting steps that fit on
+// none of 490 workers, which run tasks of five latency-critical images.
 func BenchmarkPassOverLongQueue(b *testing.B) {
-	w := newWorld(b, 1)
+	w := newSimulation(b, 1)
 	for i := range 490 {
 		w.addWorker(fmt.Sprintf("w%03d", i), cores(16, 64), "r0")
 	}
@@ -23,7 +23,7 @@
 	w.run(2 * time.Second)
 	w.runTime = func(string, *fakeWorker) time.Duration { return time.Hour }
 	for i := range 800 {
-		w.submit(bestEffortJob(fmt.Sprintf("b%d", i), fmt.Sprintf("filler%d", i%9), 20, cores(2, 2)))
+		w.submit(bestEffortJob(fmt.Sprintf("b%d", i), fmt.Sprintf("batch%d", i%9), 20, cores(2, 2)))
 	}
 	w.run(3 * time.Second)
 	l := w.leader()
@@ -34,10 +34,10 @@
 	}
 }
 
-// BenchmarkPassWithoutRoom measures the passes of one second while lasting tasks and fillers
-// leave no room for 300 short jobs of higher priority.
+// BenchmarkPassWithoutRoom measures the passes of one second while long-running and
+// best-effort tasks leave no capacity for 300 short jobs of higher priority.
 func BenchmarkPassWithoutRoom(b *testing.B) {
-	w := newWorld(b, 1)
+	w := newSimulation(b, 1)
 	for i := range 350 {
 		w.addWorker(fmt.Sprintf("w%03d", i), cores(32, 128), "r0")
 	}
@@ -46,7 +46,7 @@
 	w.runTime = func(string, *fakeWorker) time.Duration { return time.Hour }
 	for i := range 350 {
 		w.submit(latencyCriticalJob(fmt.Sprintf("s%d", i), fmt.Sprintf("image%d", i%5), 5, cores(6, 12)))
-		w.submit(bestEffortJob(fmt.Sprintf("b%d", i), fmt.Sprintf("filler%d", i%9), 8, cores(2, 2)))
+		w.submit(bestEffortJob(fmt.Sprintf("b%d", i), fmt.Sprintf("batch%d", i%9), 8, cores(2, 2)))
 	}
 	w.run(2 * time.Second)
 	for i := range 300 {
--- a/internal/orchestrator/load_test.go
+++ b/internal/orchestrator/load_test.go
@@ -12,7 +12,7 @@
 	"peridotpitch/internal/orchestrator"
 )
 
-// bestEffortJob returns a job whose tasks fill.
+// bestEffortJob returns a job of best-effort tasks.
 func bestEffortJob(id, image string, tasks int, size orchestrator.Resources) orchestrator.Job {
 	j := simpleJob(id, tasks, size)
 	j.Steps[0].Fills, j.Steps[0].Image, j.Steps[0].Checkpoints = true, image, true
@@ -20,15 +20,16 @@
 	return j
 }
 
-// latencyCriticalJob returns a job of lasting tasks with a latency target.
+// latencyCriticalJob returns a job of latency-critical tasks.
 func latencyCriticalJob(id, image string, tasks int, size orchestrator.Resources) orchestrator.Job {
 	j := simpleJob(id, tasks, size)
 	j.Steps[0].LongRunning, j.Steps[0].Image, j.Steps[0].LatencyTarget = true, image, 18*time.Millisecond
 	return j
 }
 
-// completionTime returns the virtual time from a job's submission to its final state.
-func (w *world) completionTime(id string) time.Duration {
+// completionTime returns the virtual time from a job's submission to its final state, -1 if
+// it has not finished.
+func (w *simulation) completionTime(id string) time.Duration {
 	for _, n := range w.notes {
 		if n.Event == orchestrator.EventJobFinished && n.Job == id {
 			return n.Age
@@ -37,8 +38,8 @@
 	return -1
 }
 
-// Pattern: a worker dies silently under load. Guards against looks to it that extend the
-// leases which they wait for: its tasks were never started again.
+// A worker with running tasks dies. Guards against polls of the dead worker that extend its
+// leases: the runs would never expire and the tasks never start elsewhere.
 func TestTasksOfDeadWorkerRestart(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1, cores(4, 16))
@@ -49,18 +50,19 @@
 	w.run(time.Second)
 	is.Equal(w.runningOn("j1"), []string{"w0", "w0"})
 	w.addWorker("w1", cores(4, 16), "r0")
-	w.leader().step(orchestrator.WorkersListed{Workers: w.entries()})
+	w.leader().step(orchestrator.WorkersListed{Workers: w.listedWorkers()})
 	dead.dead = true
-	// The lease of 4.5 s on a clock that is 2% slow, a look, and the start.
+	// 4.5 s of lease on a clock that is 2% slow, a poll, and the start.
 	w.run(6 * time.Second)
 	is.Equal(w.runningOn("j1"), []string{"w0", "w0", "w1", "w1"})
 }
 
-// Pattern: a failure domain is cut off with its leader, and a successor is elected.
-// Guards against the old leader starting tasks again whose workers the successor holds.
+// A network partition separates the leader and one worker from the store and the other
+// worker, and a successor is elected. Guards against two runs of a task: neither leader may
+// start tasks again that may still run on the worker that only the other reaches.
 func TestPartitionedLeaderRestartsNothing(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newSimulation(t, 1)
 	w.addWorker("w0", cores(4, 16), "r0")
 	w.addWorker("w1", cores(4, 16), "r1")
 	w.elect(false)
@@ -70,16 +72,17 @@
 	w.submit(j)
 	w.run(time.Second)
 	before := w.starts
-	w.split(0b00010) // the old leader keeps w0, its successor w1
+	w.partition(0b00010) // the old leader reaches w0, its successor w1
 	w.run(8 * time.Second)
-	is.Equal(w.starts, before) // neither knows enough to start anything
+	is.Equal(w.starts, before) // each must assume that the runs on the other worker continue
 	w.heal()
 	w.run(15 * time.Second)
 	is.Equal(len(w.runningOn("j1")), 8)
 }
 
-// Pattern: rolling restart under load. Guards against waits for workers that a leader
-// which hands over cleanly has told of: new work starts at once.
+// A leader hands over cleanly, as in a rolling restart, and one worker dies meanwhile. Guards
+// against a successor that waits for that worker's leases before it starts new jobs, although
+// the records name the workers of all runs.
 func TestCleanHandOverStartsWorkAtOnce(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 4, cores(4, 16))
@@ -94,11 +97,12 @@
 	is.Equal(w.state("j2"), orchestrator.StateSucceeded)
 }
 
-// Pattern: workers that fail all they start, with a good health. Guards against them
-// drawing all work because they look idle, and against never trying them again.
+// A worker fails all its runs, but answers polls normally. Guards against such a worker
+// getting most of the work because it is always idle, and against a quarantine that never
+// ends.
 func TestFailingWorkerIsQuarantined(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newSimulation(t, 1)
 	for i := range 4 {
 		w.addWorker(fmt.Sprintf("w%d", i), cores(8, 32), "r0")
 	}
@@ -127,10 +131,11 @@
 	is.True(w.workers["w0"].endCount > 0)
 }
 
-// Pattern: tasks that stand still on one worker. Guards against jobs that wait for them.
+// Tasks make no progress on one worker. Guards against jobs that wait for hung tasks for
+// ever: the tasks must be moved to the other worker.
 func TestHungTaskMoves(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newSimulation(t, 1)
 	w.addWorker("w0", cores(8, 32), "r0")
 	w.addWorker("w1", cores(8, 32), "r0")
 	w.workers["w0"].hangsTasks = true
@@ -141,8 +146,8 @@
 	is.Equal(w.state("j1"), orchestrator.StateSucceeded)
 }
 
-// Pattern: a long queue of lasting tasks that find no room. Guards against short jobs
-// being reached by whole passes only, every 200 ms.
+// A long queue of long-running tasks waits for capacity. Guards against a short job that
+// starts only after a pass over the whole queue, up to 200 ms late.
 func TestShortJobPassesWaitingLongRunningTasks(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1, cores(8, 64))
@@ -158,8 +163,8 @@
 	is.Equal(w.runningOn("j1"), []string{"w0"})
 }
 
-// Pattern: burst of wide batch jobs. Guards against all of them being begun and none
-// being in time: those that can meet their objective end first.
+// A burst of wide batch jobs arrives. Guards against running all of them at the same time,
+// so that none meets its deadline: the jobs must finish one after another.
 func TestBurstFinishesJobsInOrder(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 4, cores(8, 64))
@@ -173,16 +178,18 @@
 	for i := range 12 {
 		took := w.completionTime(fmt.Sprintf("b%02d", i))
 		is.True(took > 0)
-		// 16 tasks run at a time, so that each job takes 2 s of the whole. A quarter is
-		// added for the notice of ends, and a step of the next job that fills gaps.
+		// 16 tasks run at a time, so that each job takes 2 s of all workers. A quarter is
+		// added for the delay until ends are reported and for steps of the next job that run
+		// in gaps.
 		if limit := time.Duration(i+1)*2500*time.Millisecond + time.Second; took > limit {
-			t.Errorf("job %d ended after %s, later than %s: jobs do not end in turn", i, took, limit)
+			t.Errorf("job %d ended after %s, want at most %s if jobs finish one after another", i, took, limit)
 		}
 	}
 }
 
-// Pattern: fillers beside tasks with a latency target. Guards against harm by one bad
-// pair of images, and against slowing fillers that disturb nobody.
+// Best-effort tasks run beside latency-critical ones, and one pair of images interferes.
+// Guards against missed latency targets after the pair's coefficient has been measured, and
+// against throttling or starving tasks that do not interfere.
 func TestInterferingTasksAreSeparated(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 6, cores(16, 64))
@@ -190,20 +197,21 @@
 	w.submit(latencyCriticalJob("s2", "api", 3, cores(8, 8)))
 	w.run(time.Second)
 	w.runTime = func(string, *fakeWorker) time.Duration { return 2 * time.Second }
-	over, samples := 0, 0
+	overTarget, samples := 0, 0
 	for i := range 40 {
 		w.submit(bestEffortJob(fmt.Sprintf("loud%d", i), "loud", 2, cores(3, 2)))
 		w.submit(bestEffortJob(fmt.Sprintf("calm%d", i), "calm", 2, cores(3, 2)))
 		for range 10 {
-			o, n := w.measureTails()
+			o, n := w.setTailLatencies()
 			if i >= 10 {
-				over, samples = over+o, samples+n
+				overTarget, samples = overTarget+o, samples+n
 			}
 			w.run(50 * time.Millisecond)
 		}
 	}
-	// Once the pairs are learnt, harm is the exception. Loud fillers disturb only web.
-	is.True(over*20 <= samples)
+	// After the first 10 rounds at most 5% of the samples may be over the target. The image
+	// loud interferes only with web.
+	is.True(overTarget*20 <= samples)
 	w.run(30 * time.Second)
 	for i := range 40 {
 		is.Equal(w.state(fmt.Sprintf("loud%d", i)), orchestrator.StateSucceeded)
@@ -211,10 +219,10 @@
 	}
 }
 
-// measureTails sets the tail of each serving task: 4 ms at rest, as of a queue with a
-// utilization of 0.45 and more by loud fillers beside the image web. It returns how many
-// are over the target, and all.
-func (w *world) measureTails() (over, all int) {
+// setTailLatencies sets the tail latency of each latency-critical task to that of a queue: 4 ms
+// without load, with a utilization of 0.45, and more for tasks of s1 (image web) beside tasks
+// of the image loud. It returns the number of tasks over the target of 18 ms and of all tasks.
+func (w *simulation) setTailLatencies() (overTarget, all int) {
 	for _, k := range w.workers {
 		loud := 0.0
 		for name, r := range k.runs {
@@ -233,15 +241,15 @@
 			k.tailLatencyMs[name] = int(4 / (1 - min(u, 0.98)))
 			all++
 			if k.tailLatencyMs[name] > 18 {
-				over++
+				overTarget++
 			}
 		}
 	}
-	return over, all
+	return overTarget, all
 }
 
-// Pattern: memory taken by batch work. Guards against a lasting task of higher priority
-// that stays away although batch tasks could make room.
+// Batch tasks use the whole memory. Guards against a long-running task of higher priority
+// that waits although stopping batch tasks would free enough memory for it.
 func TestLongRunningTaskPreemptsBatch(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1, cores(32, 16))
@@ -255,11 +263,11 @@
 	is.Equal(len(w.runningOn("b1")), 6)
 }
 
-// Pattern: jobs that can never be done. Guards against more starts than attempts, and
-// against a job that is never shown as failed.
+// Every run of a job fails. Guards against more starts than the allowed attempts, and against
+// a job that never gets the state failed.
 func TestFailingJobFailsAfterItsAttempts(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newSimulation(t, 1)
 	for i := range 5 {
 		w.addWorker(fmt.Sprintf("w%d", i), cores(8, 32), "r0")
 	}
@@ -274,8 +282,8 @@
 	is.Equal(w.starts, 4)
 }
 
-// Pattern: wave of cancels. Guards against tasks that run on after their job was
-// cancelled, and against starts of its waiting tasks.
+// A job with running and waiting tasks is cancelled. Guards against running tasks that
+// continue, and against starts of the waiting ones.
 func TestCancelStopsAndStartsNothing(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1, cores(4, 32))
@@ -290,10 +298,11 @@
 	is.Equal(w.starts, started)
 }
 
-// Pattern: gang on one rack. Guards against members that start without the others.
+// Gangs need all their tasks on one rack. Guards against members that start without the
+// others or on another rack.
 func TestGangStartsTogetherOnOneRack(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newSimulation(t, 1)
 	for i := range 4 {
 		w.addWorker(fmt.Sprintf("w%d", i), cores(4, 32), fmt.Sprintf("r%d", i/2))
 	}
@@ -306,10 +315,10 @@
 	g.Steps[0].Gang, g.Steps[0].SameRack, g.Steps[0].Estimate = true, true, 5*time.Second
 	w.submit(g)
 	w.run(time.Second)
-	where := w.runningOn("g1")
-	is.Equal(len(where), 6) // each rack has 6 cores left
-	where = slices.Compact(where)
-	is.True(slices.Equal(where, []string{"w0", "w1"}) || slices.Equal(where, []string{"w2", "w3"}))
+	workers := w.runningOn("g1")
+	is.Equal(len(workers), 6) // each rack has 6 cores left
+	workers = slices.Compact(workers)
+	is.True(slices.Equal(workers, []string{"w0", "w1"}) || slices.Equal(workers, []string{"w2", "w3"}))
 	h := simpleJob("g2", 6, cores(1, 1))
 	h.Steps[0].Gang, h.Steps[0].SameRack, h.Steps[0].Estimate = true, true, 5*time.Second
 	w.submit(h)
@@ -318,7 +327,7 @@
 	is.True(n == 0 || n == 6)
 }
 
-// Pattern: scheduled jobs. Guards against occurrences that start before their time.
+// A job has a schedule. Guards against occurrences that start before their due time.
 func TestOccurrencesStartWhenDue(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1, cores(4, 32))
@@ -334,11 +343,11 @@
 	is.Equal(w.state("j1"), orchestrator.StateSucceeded)
 }
 
-// Guards against data far away: a task goes to the rack of its data while there is room,
-// and elsewhere when it would wait too long.
+// Tasks have a rack affinity. Guards against tasks that run away from their data while its
+// rack has free capacity, and against tasks that wait for that rack too long.
 func TestTaskRunsOnRackOfItsData(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newSimulation(t, 1)
 	w.addWorker("w0", cores(8, 32), "r0")
 	w.addWorker("w1", cores(2, 32), "r1")
 	w.elect(false)
@@ -353,7 +362,8 @@
 	is.Equal(w.runningOn("j1"), []string{"w0", "w1", "w1"})
 }
 
-// Guards against starts on workers that leave, and against work that ends with them.
+// A worker with long-running tasks drains. Guards against tasks that stay there until the
+// worker ends, and against new starts there.
 func TestDrainingWorkerIsEvacuated(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1, cores(8, 32))
@@ -363,24 +373,24 @@
 	w.run(time.Second)
 	w.addWorker("w1", cores(8, 32), "r0")
 	w.workers["w0"].entry.Draining = true
-	w.leader().step(orchestrator.WorkersListed{Workers: w.entries()})
+	w.leader().step(orchestrator.WorkersListed{Workers: w.listedWorkers()})
 	w.run(1500 * time.Millisecond)
 	is.Equal(w.runningOn("j1"), []string{"w1", "w1"})
 }
 
-// Pattern: workers leave, and then all entry hosts die. Guards against a successor that
-// waits for the leases of a worker that had left with nothing running.
+// A worker drains and leaves with no runs, and then the leader dies. Guards against a
+// successor that waits for the leases of that worker before it starts jobs.
 func TestSuccessorDoesNotWaitForIdleWorkerThatLeft(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newSimulation(t, 1)
 	w.addWorker("w0", cores(8, 32), "r0")
 	left := w.addWorker("w1", cores(8, 32), "r0")
 	w.elect(false)
 	w.run(time.Second)
 	left.entry.Draining = true
-	w.leader().step(orchestrator.WorkersListed{Workers: w.entries()})
+	w.leader().step(orchestrator.WorkersListed{Workers: w.listedWorkers()})
 	w.run(time.Second)
-	w.leader().frozen = true // it neither starts the job nor tells that the worker has gone
+	w.leader().frozen = true // it neither starts the job nor records that the worker has left
 	left.dead = true
 	w.submit(simpleJob("j1", 1, cores(1, 1))) // not started before the leader dies
 	w.elect(false)
@@ -388,7 +398,7 @@
 	is.Equal(w.state("j1"), orchestrator.StateSucceeded)
 }
 
-// Guards against jobs that no worker or dependency can satisfy.
+// Guards against accepting jobs with impossible sizes, counts or dependencies.
 func TestInvalidJobs(t *testing.T) {
 	is := is.New(t)
 	for name, change := range map[string]func(*orchestrator.Job){
--- a/internal/orchestrator/main_test.go
+++ b/internal/orchestrator/main_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed and the number of model runs, so that CI gives the same
-// verdict every time. Flags on the command line go first.
+// TestMain fixes the seed and the number of runs of the property-based tests, so that each
+// run of the tests gives the same result. Flags on the command line override them.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "20261203", "rapid.checks": "60", "rapid.nofailfile": "true"} {
 		if err := flag.Set(name, value); err != nil {
--- a/internal/orchestrator/model_test.go
+++ b/internal/orchestrator/model_test.go
@@ -12,14 +12,14 @@
 	"peridotpitch/internal/orchestrator"
 )
 
-// TestInvariantsUnderFaults guards against two runs of a task at the same time, starts after an
-// acknowledged end, starts beyond the attempts and beyond a worker's room, while leaders
-// are replaced, cut off and frozen, orders are lost or carried out late, and workers
-// restart. world.checkStart fails the test. Afterwards, with all faults over, every job
-// must end.
+// TestInvariantsUnderFaults guards against two runs of a task at the same time, starts after
+// an acknowledged success, starts beyond the allowed attempts and starts beyond a worker's
+// capacity, while leaders are replaced, disconnected and frozen, commands are dropped or
+// executed late, and workers restart. simulation.checkStart checks each start. After the last
+// fault every job must reach a final state.
 func TestInvariantsUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld(rt, rapid.Uint64().Draw(rt, "seed"))
+		w := newSimulation(rt, rapid.Uint64().Draw(rt, "seed"))
 		w.faults = faults{dropped: 0.03, appliedLate: 0.05}
 		w.succeeds = func(string, int) bool { return w.rng.Float64() > 0.05 }
 		w.runTime = func(string, *fakeWorker) time.Duration {
@@ -31,11 +31,11 @@
 		w.elect(false)
 		jobs := 0
 		for range rapid.IntRange(5, 25).Draw(rt, "steps") {
-			switch rapid.SampledFrom([]string{"job", "job", "lasting", "elect", "hand over", "split", "cut", "heal", "restart", "kill", "freeze", "store", "cancel"}).Draw(rt, "event") {
+			switch rapid.SampledFrom([]string{"job", "job", "long-running job", "elect", "hand over", "partition", "disconnect", "heal", "restart", "kill", "freeze", "toggle store", "cancel"}).Draw(rt, "event") {
 			case "job":
 				jobs++
 				w.submit(modelJob(rt, jobs))
-			case "lasting":
+			case "long-running job":
 				jobs++
 				j := simpleJob(fmt.Sprintf("j%d", jobs), 2, cores(1, 1))
 				j.Steps[0].LongRunning = true
@@ -43,19 +43,19 @@
 			case "elect":
 				w.elect(false)
 			case "hand over":
-				if l := w.leader(); !l.frozen && !l.noStore && !l.deposed {
+				if l := w.leader(); !l.frozen && !l.storeUnreachable && !l.deposed {
 					w.elect(l.handOver())
 				}
-			case "split":
-				w.split(rapid.IntRange(0, 31).Draw(rt, "side"))
+			case "partition":
+				w.partition(rapid.IntRange(0, 31).Draw(rt, "side"))
 			case "kill":
 				if k := w.workers[rapid.SampledFrom([]string{"w0", "w1"}).Draw(rt, "worker")]; !k.dead {
 					k.dead = true
 					w.leader().step(orchestrator.WorkerUnlisted{ID: k.entry.ID})
 				}
-			case "cut":
+			case "disconnect":
 				k := w.workers[rapid.SampledFrom([]string{"w0", "w1", "w2", "w3", "w4"}).Draw(rt, "worker")]
-				k.cut[rapid.SampledFrom(w.leaders).Draw(rt, "leader")] = true
+				k.unreachableFrom[rapid.SampledFrom(w.leaders).Draw(rt, "leader")] = true
 			case "heal":
 				w.heal()
 			case "restart":
@@ -64,9 +64,9 @@
 			case "freeze":
 				l := rapid.SampledFrom(w.leaders).Draw(rt, "leader")
 				l.frozen = !l.frozen
-			case "store":
+			case "toggle store":
 				l := w.leader()
-				l.noStore = !l.noStore
+				l.storeUnreachable = !l.storeUnreachable
 			case "cancel":
 				if jobs > 0 {
 					w.cancel(fmt.Sprintf("j%d", rapid.IntRange(1, jobs).Draw(rt, "job")))
@@ -74,7 +74,7 @@
 			}
 			w.run(time.Duration(rapid.IntRange(50, 4000).Draw(rt, "pause")) * time.Millisecond)
 		}
-		w.settle(rt, jobs)
+		w.finishAll(rt, jobs)
 	})
 }
 
@@ -88,44 +88,45 @@
 	return j
 }
 
-// restart gives a worker a new incarnation under the same name. Orders that are still to
-// be carried out late are lost with the old one: nothing in an order tells a new
-// incarnation of the same name that it was meant for the old one.
-func (k *fakeWorker) restart(w *world) {
+// restart gives a worker a new incarnation under the same name. Commands that would be
+// executed late are lost with the old one: a command does not name an incarnation, so that
+// the new one could not refuse it.
+func (k *fakeWorker) restart(w *simulation) {
 	w.pendingCommands = slices.DeleteFunc(w.pendingCommands, func(o pendingCommand) bool { return o.worker == k.entry.ID })
-	k.incarnation, k.startedAt, k.fence, k.lease, k.endCount, k.ackedUpto, k.endsBeforeLeaseEnd = w.now.UnixMilli(), w.now, 0, 0, 0, 0, 0
+	k.incarnation, k.startedAt, k.fence, k.leaseEnd, k.endCount, k.ackedUpto, k.endsBeforeExpiry = w.now.UnixMilli(), w.now, 0, 0, 0, 0, 0
 	k.ended = nil
 	clear(k.runs)
 	clear(k.lastEndedRun)
 }
 
-// split cuts the leader off from the store and from some workers, and elects another one
-// that reaches only those. side has a bit for each worker.
-func (w *world) split(side int) {
+// partition disconnects the leader from the store and some workers, and elects a successor
+// that reaches only those workers. Bit i of side is set if the successor gets worker i.
+func (w *simulation) partition(side int) {
 	old := w.leader()
-	old.noStore = true
+	old.storeUnreachable = true
 	next := w.elect(false)
 	for i, n := range slices.Sorted(maps.Keys(w.workers)) {
 		if side&(1<<i) != 0 {
-			w.workers[n].cut[old] = true
+			w.workers[n].unreachableFrom[old] = true
 		} else {
-			w.workers[n].cut[next] = true
+			w.workers[n].unreachableFrom[next] = true
 		}
 	}
 }
 
-// heal ends all cuts.
-func (w *world) heal() {
+// heal restores all connections.
+func (w *simulation) heal() {
 	for _, k := range w.workers {
-		clear(k.cut)
+		clear(k.unreachableFrom)
 	}
 	for _, l := range w.leaders {
-		l.noStore = false
+		l.storeUnreachable = false
 	}
 }
 
-// settle ends all faults and waits for all jobs.
-func (w *world) settle(rt *rapid.T, jobs int) {
+// finishAll ends all faults, cancels the long-running jobs and checks that all jobs reach a
+// final state.
+func (w *simulation) finishAll(rt *rapid.T, jobs int) {
 	w.faults = faults{}
 	w.succeeds = func(string, int) bool { return true }
 	w.heal()
--- a/internal/orchestrator/overload_test.go
+++ b/internal/orchestrator/overload_test.go
@@ -11,8 +11,9 @@
 	"peridotpitch/internal/orchestrator"
 )
 
-// finishedWithin returns how many of the jobs whose IDs start with prefix succeeded within limit.
-func (w *world) finishedWithin(prefix string, limit time.Duration) int {
+// finishedWithin returns the number of jobs whose IDs start with prefix and that succeeded
+// within limit.
+func (w *simulation) finishedWithin(prefix string, limit time.Duration) int {
 	n := 0
 	for _, e := range w.notes {
 		if e.Event == orchestrator.EventJobFinished && strings.HasPrefix(e.Job, prefix) && e.Outcome == string(orchestrator.StateSucceeded) && e.Age <= limit {
@@ -22,9 +23,9 @@
 	return n
 }
 
-// Pattern: batch jobs of equal size come twice as fast as the workers can serve them, for
-// many times their objective. Guards against ordering by deadline alone, with which every
-// job gets some room, all of them end just after their objective, and nearly none counts.
+// Identical batch jobs arrive at twice the rate that the workers can process, for many times
+// their time to the deadline. Guards against ordering by deadline alone: every job would get
+// some capacity, all would finish just after their deadline, and nearly none would be in time.
 func TestSustainedOverloadFinishesStartedJobs(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 4, cores(8, 64))
@@ -38,18 +39,18 @@
 		w.run(500 * time.Millisecond)
 	}
 	w.run(20 * time.Second)
-	// Steps of a job leave gaps that the next job fills, so that not all of the capacity
-	// of one job a second can end in time.
+	// Steps of a job leave gaps in which the next job runs, so that fewer than one job a
+	// second can end in time.
 	if n := w.finishedWithin("b", 5*time.Second); n < seconds*2/3 {
-		t.Errorf("%d jobs in time, want at least two thirds of the %d that there is room for", n, seconds)
+		t.Errorf("%d jobs in time, want at least two thirds of the %d that the workers can process", n, seconds)
 	}
 	for i := range 2 * seconds {
 		is.True(w.state(fmt.Sprintf("b%02d", i)).Final() || w.completionTime(fmt.Sprintf("b%02d", i)) < 0)
 	}
 }
 
-// Pattern: wide jobs of uneven tasks. Guards against objectives that are taken from the
-// mean task: a wide step takes as long as its longest task.
+// Tasks of a step have different run times. Guards against deadlines that are based on the
+// mean run time: a step with many tasks takes as long as its longest task.
 func TestDeadlineAllowsForLongestTask(t *testing.T) {
 	w := newCluster(t, 4, cores(16, 64))
 	n := 0
@@ -66,15 +67,16 @@
 	wide, narrow := w.deadlineAfterSubmission("wide"), w.deadlineAfterSubmission("narrow")
 	// The longest of 32 of these tasks takes 1.4 times the mean.
 	if narrow < 2800*time.Millisecond || narrow > 3300*time.Millisecond {
-		t.Errorf("the objective of one task of about 1 s is %s, want about 3 s", narrow)
+		t.Errorf("the deadline of a job of one task of about 1 s is %s after its submission, want 2.8 s to 3.3 s", narrow)
 	}
 	if wide < 3800*time.Millisecond || wide > 5*time.Second {
-		t.Errorf("the objective of 32 tasks of up to 1.4 s is %s, want 3.8 s or somewhat more", wide)
+		t.Errorf("the deadline of a job of 32 tasks of up to 1.4 s is %s after its submission, want 3.8 s to 5 s", wide)
 	}
 }
 
-// deadlineAfterSubmission returns what a leader takes as a job's time from submission to its deadlineAfterSubmission.
-func (w *world) deadlineAfterSubmission(id string) time.Duration {
+// deadlineAfterSubmission returns the time from a job's submission to its deadline, as the
+// leader has noted it, -1 if it has not.
+func (w *simulation) deadlineAfterSubmission(id string) time.Duration {
 	for _, e := range w.notes {
 		if e.Event == orchestrator.EventJobAdded && e.Job == id {
 			_, text, _ := strings.Cut(e.Figures, "Deadline=")
@@ -86,17 +88,18 @@
 	return -1
 }
 
-// Pattern: one filler that disturbs a task with a latency target is slowed. Guards against
-// a worker that takes no other fillers meanwhile, though they disturb nobody there.
+// A best-effort task is throttled because it interferes with a latency-critical one. Guards
+// against a worker that meanwhile gets no other best-effort tasks, although samples show that
+// they do not interfere there.
 func TestHarmlessTaskStartsBesideThrottledTask(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newSimulation(t, 1)
 	w.addWorker("w0", cores(16, 64), "r0")
 	l := w.elect(false)
 	l.step(orchestrator.Inherited{Learnt: orchestrator.Experience{
 		Pairs: []orchestrator.PairExperience{
 			{Serving: "web", Filler: "calm", Coefficient: 0.01, Samples: 300, Variance: 0.01},
-			{Serving: "web", Filler: "loud", Coefficient: 0.1, Samples: 300, Variance: 0.01}, // it is 4 by now
+			{Serving: "web", Filler: "loud", Coefficient: 0.1, Samples: 300, Variance: 0.01}, // the actual coefficient is 4
 		},
 		Images: []orchestrator.ImageExperience{{Image: "web", Idle: 0.22, Mean: 0.45}},
 	}})
@@ -106,7 +109,7 @@
 	w.runTime = func(string, *fakeWorker) time.Duration { return time.Minute }
 	w.submit(bestEffortJob("loud", "loud", 1, cores(3, 2)))
 	for range 60 {
-		w.measureTails()
+		w.setTailLatencies()
 		w.run(50 * time.Millisecond)
 	}
 	is.Equal(w.runningOn("loud"), []string{"w0"})
@@ -118,7 +121,7 @@
 	is.Equal(len(w.runningOn("loud2")), 0)
 }
 
-func (w *world) speedOf(task string) int {
+func (w *simulation) speedOf(task string) int {
 	for _, k := range w.workers {
 		if r := k.runs[task]; r != nil {
 			return r.speed
@@ -127,8 +130,8 @@
 	return -1
 }
 
-// Pattern: late batch jobs and room only beside tasks with a latency target. Guards against
-// late work that takes the margin of these tasks as timely work may.
+// Capacity is free only beside a latency-critical task. Guards against best-effort tasks of
+// late jobs that use up the headroom there, which only those of jobs in time may do.
 func TestLateBestEffortTaskKeepsHeadroom(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1, cores(16, 64))
@@ -144,8 +147,8 @@
 	is.Equal(w.runningOn("timely"), []string{"w0"})
 }
 
-// Guards against a cancelled task that runs on because its worker has answered the stop
-// and not carried it out.
+// A worker answers a stop without executing it. Guards against a cancelled task that
+// continues because the stop is not sent again.
 func TestStopWithoutEffectIsResent(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1, cores(8, 64))
@@ -160,21 +163,21 @@
 	is.Equal(len(w.runningOn("s1")), 0)
 }
 
-// Pattern: lasting tasks that lost their workers are larger than the gaps that short jobs
-// leave. Guards against short jobs that take each gap for as long as they come.
+// A long-running task is larger than the capacity that becomes free when a short task ends.
+// Guards against short jobs that use all freed capacity for as long as they arrive.
 func TestLargeLongRunningTaskGetsReservedWorker(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 4, cores(8, 64))
 	n := 0
 	w.runTime = func(string, *fakeWorker) time.Duration {
 		n++
-		return time.Duration(400+170*(n%5)) * time.Millisecond // gaps of one task at a time
+		return time.Duration(400+170*(n%5)) * time.Millisecond // different, so that tasks end one at a time
 	}
 	for i := range 200 {
 		w.submit(simpleJob(fmt.Sprintf("q%03d", i), 4, cores(3.5, 2)))
 		if i == 20 {
 			j := latencyCriticalJob("large", "web", 1, cores(6, 8))
-			j.Policy = orchestrator.Policy{Queue: "lasting", Service: "s", Attempts: 3, Stretch: 2}
+			j.Policy = orchestrator.Policy{Queue: "long-running", Service: "s", Attempts: 3, Stretch: 2}
 			w.submit(j)
 		}
 		w.run(50 * time.Millisecond)
@@ -182,9 +185,9 @@
 	is.Equal(len(w.runningOn("large")), 1) // after less than 9 s, while short jobs still wait
 }
 
-// Pattern: a worker with lasting tasks fails other tasks for a while. Guards against a
-// worker that gets no work for as long as the lasting tasks run, because one task at a
-// time may run there, and against a lasting task that is tried first and never ends.
+// A worker with long-running tasks fails other tasks for a while. After its quarantine it gets
+// one task at a time until one succeeds. Guards against counting the long-running tasks as
+// that one task, and against waiting for the end of a long-running task that was tried first.
 func TestRecoveredWorkerGetsWorkBesideLongRunningTasks(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1, cores(16, 64))
@@ -199,7 +202,7 @@
 	w.run(time.Second) // their runs end as failed
 	k.failsTasks = false
 	for i := range 6 {
-		w.cancel(fmt.Sprintf("j%d", i)) // none of them is left to be tried first
+		w.cancel(fmt.Sprintf("j%d", i)) // so that a long-running task is tried first
 	}
 	w.run(4 * time.Second)
 	w.submit(latencyCriticalJob("s2", "web", 3, cores(2, 2)))
@@ -210,11 +213,11 @@
 	is.Equal(len(w.runningOn("k")), 4)
 }
 
-// Pattern: more workers than are rated for one task, and as many tasks as they have room
-// for. Guards against room that is not found because other workers are rated.
+// There are more workers than are scored for one task, and as many tasks as fit on them.
+// Guards against free workers that are never found because others are scored.
 func TestAllWorkersAreUsedWhenSomeAreScored(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newSimulation(t, 1)
 	const many = 700
 	for i := range many {
 		w.addWorker(fmt.Sprintf("w%03d", i), cores(4, 16), "r0")
--- a/internal/orchestrator/record_test.go
+++ b/internal/orchestrator/record_test.go
@@ -9,11 +9,11 @@
 	"peridotpitch/internal/orchestrator"
 )
 
-// Guards against records that stay in the store for ever: a final state goes after its
-// retention, also if the first write that deletes it fails.
+// Guards against records that stay in the store for ever: the record of a finished job is
+// deleted after its retention, also if the first write that deletes it fails.
 func TestRecordsOfFinishedJobsExpire(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, 1)
+	w := newSimulation(t, 1)
 	w.addWorker("w0", cores(4, 16), "r0")
 	w.elect(false)
 	w.run(time.Second)
@@ -24,7 +24,7 @@
 	w.now = w.now.Add(2 * time.Hour)
 	l.step(orchestrator.Tick{})
 	is.True(l.o.Unwritten())
-	for range 2 { // the first write is not answered
+	for range 2 { // the first write gets no answer
 		b, _ := l.o.NextBatch(9, true, w.now)
 		is.Equal(len(b.Entries), 1)
 		is.True(b.Entries[0].Delete)
@@ -35,7 +35,7 @@
 	is.Equal(w.state("j1"), orchestrator.State(""))
 }
 
-// Guards against a successor that learns anew which images disturb each other.
+// Guards against a successor that loses the measured interference and has to measure it anew.
 func TestExperienceSurvivesLeaderChange(t *testing.T) {
 	is := is.New(t)
 	e := orchestrator.Experience{
@@ -48,7 +48,7 @@
 	back, err := orchestrator.DecodeExperience(b)
 	is.NoErr(err)
 	is.Equal(back, e)
-	w := newWorld(t, 1)
+	w := newSimulation(t, 1)
 	l := w.elect(false)
 	l.step(orchestrator.Inherited{Learnt: back})
 	next, _ := l.o.NextBatch(9, true, w.now.Add(time.Minute))
--- a/internal/orchestrator/world_test.go
+++ b/internal/orchestrator/simulation_test.go
@@ -12,9 +12,9 @@
 	"peridotpitch/internal/orchestrator"
 )
 
-// world is a set of workers, a store and leaders in virtual time. It carries out orders
-// as the platform describes them and checks the guarantees as they are broken.
-type world struct {
+// simulation runs workers, a store and leaders in virtual time. Its workers execute commands
+// as the platform describes it, and it fails the test at each start that breaks a guarantee.
+type simulation struct {
 	t               reporter
 	now             time.Time
 	rng             *rand.Rand
@@ -22,13 +22,13 @@
 	workers         map[string]*fakeWorker
 	leaders         []*fakeLeader
 	jobs            map[string]orchestrator.Job
-	stored          map[string]orchestrator.Record
-	cancels         map[string]bool
+	storedRecords   map[string]orchestrator.Record
+	cancelRequests  map[string]bool
 	roster          orchestrator.Roster
-	currentLeader   int // leader whose writes the store accepts
+	currentLeader   int // index of the leader whose writes the store accepts
 	pendingCommands []pendingCommand
-	done            map[string]bool // tasks whose end as done was acknowledged
-	failed          map[string]int  // acknowledged failures
+	done            map[string]bool // tasks with an acknowledged end as done
+	failed          map[string]int  // number of acknowledged failures, by task
 	starts          int
 	faults          faults
 	succeeds        func(task string, run int) bool // whether a run ends as done
@@ -39,17 +39,19 @@
 
 // faults are probabilities.
 type faults struct {
-	dropped     float64 // an order gets no answer and is not carried out
-	appliedLate float64 // an order gets no answer and is carried out 2 to 12 s later
+	dropped     float64 // a command gets no answer and is not executed
+	appliedLate float64 // a command gets no answer and is executed 2 to 12 s later
 }
 
+// pendingCommand is a command on the way to a worker.
 type pendingCommand struct {
-	at     time.Time
-	worker string
+	at     time.Time // of its arrival
+	worker string    // worker that executes it late, after it got no answer; else empty
 	leader *fakeLeader
 	action orchestrator.Action
 }
 
+// fakeRun is a run on a fakeWorker.
 type fakeRun struct {
 	task      string
 	number    int
@@ -60,37 +62,39 @@
 	speed     int
 }
 
+// fakeWorker is a simulated worker.
 type fakeWorker struct {
-	entry              orchestrator.WorkerEntry
-	incarnation        int64
-	startedAt          time.Time
-	fence              uint64
-	lease              time.Duration // on the worker's clock
-	runs               map[string]*fakeRun
-	lastEndedRun       map[string]int // runs that were stopped or have ended
-	ended              []orchestrator.EndedRow
-	endCount           int
-	ackedUpto          int
-	endsBeforeLeaseEnd int // ends up to this number were followed by the end of the lease
-	cut                map[*fakeLeader]bool
-	dead               bool
-	failsTasks         bool // fails what it starts
-	hangsTasks         bool // its tasks stand still
-	ignoredStops       int  // stops that it answers without carrying them out
-	tailLatencyMs      map[string]int
-}
-
+	entry            orchestrator.WorkerEntry
+	incarnation      int64
+	startedAt        time.Time
+	fence            uint64
+	leaseEnd         time.Duration // on the worker's clock
+	runs             map[string]*fakeRun
+	lastEndedRun     map[string]int // highest number of a run that was stopped or has ended, by task
+	ended            []orchestrator.EndedRow
+	endCount         int
+	ackedUpto        int
+	endsBeforeExpiry int // the lease has expired after the ends up to this number
+	unreachableFrom  map[*fakeLeader]bool
+	dead             bool
+	failsTasks       bool // each run ends as failed
+	hangsTasks       bool // runs make no progress
+	ignoredStops     int  // number of stops that it answers without executing them
+	tailLatencyMs    map[string]int
+}
+
+// fakeLeader is an Orchestrator with its process and its connections.
 type fakeLeader struct {
-	w        *world
-	id       int
-	epoch    uint64
-	o        *orchestrator.Orchestrator
-	watched  map[string]bool
-	polledAt map[string]time.Time
-	noStore  bool
-	deposed  bool
-	frozen   bool
-	inbox    []orchestrator.Event
+	w                *simulation
+	id               int
+	epoch            uint64
+	o                *orchestrator.Orchestrator
+	watched          map[string]bool
+	polledAt         map[string]time.Time
+	storeUnreachable bool
+	deposed          bool
+	frozen           bool
+	pendingAnswers   []orchestrator.Event
 }
 
 // reporter fails a test: *testing.T or *rapid.T.
@@ -98,41 +102,42 @@
 	Fatalf(format string, args ...any)
 }
 
-func newWorld(t reporter, seed uint64) *world {
-	return &world{
+func newSimulation(t reporter, seed uint64) *simulation {
+	return &simulation{
 		t: t, now: time.Unix(1e9, 0), rng: rand.New(rand.NewPCG(seed, 1)),
 		workers: make(map[string]*fakeWorker), jobs: make(map[string]orchestrator.Job),
-		stored: make(map[string]orchestrator.Record), cancels: make(map[string]bool),
+		storedRecords: make(map[string]orchestrator.Record), cancelRequests: make(map[string]bool),
 		done: make(map[string]bool), failed: make(map[string]int),
 		succeeds: func(string, int) bool { return true },
 		runTime:  func(string, *fakeWorker) time.Duration { return time.Second },
 	}
 }
 
-// newCluster returns a world with n equal workers of one rack, w0 and so on, and a leader
-// that has reached them.
-func newCluster(t reporter, n int, room orchestrator.Resources) *world {
-	w := newWorld(t, 1)
+// newCluster returns a simulation with n identical workers of one rack, named w0 and so on,
+// and a leader that has polled them.
+func newCluster(t reporter, n int, capacity orchestrator.Resources) *simulation {
+	w := newSimulation(t, 1)
 	for i := range n {
-		w.addWorker(fmt.Sprintf("w%d", i), room, "r0")
+		w.addWorker(fmt.Sprintf("w%d", i), capacity, "r0")
 	}
 	w.elect(false)
 	w.run(time.Second)
 	return w
 }
 
-func (w *world) addWorker(name string, room orchestrator.Resources, rack string) *fakeWorker {
+func (w *simulation) addWorker(name string, capacity orchestrator.Resources, rack string) *fakeWorker {
 	k := &fakeWorker{
-		entry: orchestrator.WorkerEntry{ID: name, Service: "s", Room: room, Rack: rack, Labels: []string{"a", rack},
+		entry: orchestrator.WorkerEntry{ID: name, Service: "s", Room: capacity, Rack: rack, Labels: []string{"a", rack},
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(len(w.workers) + 1)}), 80)},
 		incarnation: w.now.UnixMilli(), startedAt: w.now, runs: make(map[string]*fakeRun), lastEndedRun: make(map[string]int),
-		cut: make(map[*fakeLeader]bool), tailLatencyMs: make(map[string]int),
+		unreachableFrom: make(map[*fakeLeader]bool), tailLatencyMs: make(map[string]int),
 	}
 	w.workers[name] = k
 	return k
 }
 
-func (w *world) entries() []orchestrator.WorkerEntry {
+// listedWorkers returns the entries of all workers that have not died.
+func (w *simulation) listedWorkers() []orchestrator.WorkerEntry {
 	var es []orchestrator.WorkerEntry
 	for _, n := range slices.Sorted(maps.Keys(w.workers)) {
 		if !w.workers[n].dead {
@@ -142,8 +147,8 @@
 	return es
 }
 
-// elect makes a new leader, to which the store listens from then on.
-func (w *world) elect(handedOff bool) *fakeLeader {
+// elect adds a new leader. From then on the store accepts only its writes.
+func (w *simulation) elect(handedOff bool) *fakeLeader {
 	w.epoch += 100
 	l := &fakeLeader{w: w, id: len(w.leaders), epoch: w.epoch, watched: make(map[string]bool), polledAt: make(map[string]time.Time)}
 	l.o = orchestrator.New(orchestrator.Settings{
@@ -154,8 +159,8 @@
 	w.currentLeader = l.id
 	inherited := orchestrator.Inherited{Roster: w.roster, HandedOff: handedOff}
 	for _, id := range slices.Sorted(maps.Keys(w.jobs)) {
-		j := orchestrator.InheritedJob{Job: w.jobs[id], Cancelled: w.cancels[id]}
-		if r, ok := w.stored[id]; ok {
+		j := orchestrator.InheritedJob{Job: w.jobs[id], Cancelled: w.cancelRequests[id]}
+		if r, ok := w.storedRecords[id]; ok {
 			j.Record = &r
 			if r.State.Final() {
 				inherited.Finished = append(inherited.Finished, r)
@@ -165,14 +170,14 @@
 		inherited.Jobs = append(inherited.Jobs, j)
 	}
 	l.step(inherited)
-	l.step(orchestrator.WorkersListed{Workers: w.entries()})
+	l.step(orchestrator.WorkersListed{Workers: w.listedWorkers()})
 	return l
 }
 
-func (w *world) leader() *fakeLeader { return w.leaders[w.currentLeader] }
+func (w *simulation) leader() *fakeLeader { return w.leaders[w.currentLeader] }
 
-// submit stores a job under the present leader.
-func (w *world) submit(j orchestrator.Job) {
+// submit stores a job under the current leader.
+func (w *simulation) submit(j orchestrator.Job) {
 	if j.Submitted.IsZero() {
 		j.Submitted = w.now
 	}
@@ -184,11 +189,12 @@
 	w.leader().step(orchestrator.JobAccepted{Job: j, Revision: j.Epoch + 1})
 }
 
-func (w *world) cancel(id string) {
-	w.cancels[id] = true
+func (w *simulation) cancel(id string) {
+	w.cancelRequests[id] = true
 	w.leader().step(orchestrator.CancelRequested{ID: id})
 }
 
+// step passes an event to the leader, unless its process is frozen or has stepped down.
 func (l *fakeLeader) step(e orchestrator.Event) {
 	if l.deposed {
 		return
@@ -196,7 +202,7 @@
 	if l.frozen {
 		switch e.(type) {
 		case orchestrator.StartAnswered, orchestrator.StopAnswered, orchestrator.PaceAnswered:
-			l.inbox = append(l.inbox, e) // answers are read when the process wakes
+			l.pendingAnswers = append(l.pendingAnswers, e) // read when the process continues
 		}
 		return
 	}
@@ -205,6 +211,7 @@
 	}
 }
 
+// handleAction handles an action of the leader.
 func (l *fakeLeader) handleAction(a orchestrator.Action) {
 	w := l.w
 	switch a := a.(type) {
@@ -217,72 +224,75 @@
 	case orchestrator.Note:
 		w.notes = append(w.notes, a)
 	case orchestrator.StartRun, orchestrator.StopRun, orchestrator.PaceRun:
-		// Orders arrive after the step that gave them.
+		// Commands arrive after the step that sent them.
 		w.pendingCommands = append(w.pendingCommands, pendingCommand{at: w.now.Add(time.Millisecond), leader: l, action: a})
 	case orchestrator.WriteSoon, orchestrator.AskAdvice:
 	}
 }
 
-// deliver carries out an order, or loses it.
-func (w *world) deliver(o pendingCommand) {
-	answered := o.worker == ""
-	id := ""
-	switch a := o.action.(type) {
+// deliver executes a command, drops it or delays it.
+func (w *simulation) deliver(c pendingCommand) {
+	answered := c.worker == ""
+	worker := ""
+	switch a := c.action.(type) {
 	case orchestrator.StartRun:
-		id = a.Worker
+		worker = a.Worker
 	case orchestrator.StopRun:
-		id = a.Worker
+		worker = a.Worker
 	case orchestrator.PaceRun:
-		id = a.Worker
+		worker = a.Worker
 	}
-	k := w.workers[id]
-	if k == nil || k.dead || k.cut[o.leader] {
+	k := w.workers[worker]
+	if k == nil || k.dead || k.unreachableFrom[c.leader] {
 		if answered {
-			w.answer(o, orchestrator.StartUnknown)
+			w.answerCommand(c, orchestrator.StartUnknown)
 		}
 		return
 	}
 	if answered {
-		switch r := w.rng.Float64(); {
-		case r < w.faults.dropped:
-			w.answer(o, orchestrator.StartUnknown)
+		switch p := w.rng.Float64(); {
+		case p < w.faults.dropped:
+			w.answerCommand(c, orchestrator.StartUnknown)
 			return
-		case r < w.faults.dropped+w.faults.appliedLate:
-			w.answer(o, orchestrator.StartUnknown)
-			o.worker, o.at = id, w.now.Add(2*time.Second+time.Duration(w.rng.Int64N(int64(10*time.Second))))
-			w.pendingCommands = append(w.pendingCommands, o)
+		case p < w.faults.dropped+w.faults.appliedLate:
+			w.answerCommand(c, orchestrator.StartUnknown)
+			c.worker, c.at = worker, w.now.Add(2*time.Second+time.Duration(w.rng.Int64N(int64(10*time.Second))))
+			w.pendingCommands = append(w.pendingCommands, c)
 			return
 		}
 	}
-	outcome := k.execute(w, o)
+	outcome := k.execute(w, c)
 	if answered {
-		w.answer(o, outcome)
+		w.answerCommand(c, outcome)
 	}
 }
 
-func (w *world) answer(o pendingCommand, outcome orchestrator.StartOutcome) {
+// answerCommand passes the outcome of a command to the leader that sent it.
+func (w *simulation) answerCommand(c pendingCommand, outcome orchestrator.StartOutcome) {
 	answered := outcome != orchestrator.StartUnknown
-	switch a := o.action.(type) {
+	switch a := c.action.(type) {
 	case orchestrator.StartRun:
-		o.leader.step(orchestrator.StartAnswered{Worker: a.Worker, Task: a.Task, Run: a.Run, Outcome: outcome})
+		c.leader.step(orchestrator.StartAnswered{Worker: a.Worker, Task: a.Task, Run: a.Run, Outcome: outcome})
 	case orchestrator.StopRun:
-		o.leader.step(orchestrator.StopAnswered{Worker: a.Worker, Task: a.Task, Run: a.Run, Answered: answered, Fenced: outcome == orchestrator.StartFenced})
+		c.leader.step(orchestrator.StopAnswered{Worker: a.Worker, Task: a.Task, Run: a.Run, Answered: answered, Fenced: outcome == orchestrator.StartFenced})
 	case orchestrator.PaceRun:
-		o.leader.step(orchestrator.PaceAnswered{Worker: a.Worker, Task: a.Task, Run: a.Run, Percent: a.Percent, Answered: answered})
+		c.leader.step(orchestrator.PaceAnswered{Worker: a.Worker, Task: a.Task, Run: a.Run, Percent: a.Percent, Answered: answered})
 	}
 }
 
-// clock is 2% slow, the most that the platform allows.
+// clock returns the worker's clock, which is 2% slow, the most that the platform allows.
 func (k *fakeWorker) clock(now time.Time) time.Duration {
 	return time.Duration(0.98 * float64(now.Sub(k.startedAt)))
 }
 
-func (k *fakeWorker) execute(w *world, o pendingCommand) orchestrator.StartOutcome {
-	if o.leader.epoch < k.fence {
+// execute executes a command and returns its outcome. A stop or a throttle command that the
+// worker has executed returns StartAccepted too.
+func (k *fakeWorker) execute(w *simulation, c pendingCommand) orchestrator.StartOutcome {
+	if c.leader.epoch < k.fence {
 		return orchestrator.StartFenced
 	}
-	k.fence = o.leader.epoch
-	switch a := o.action.(type) {
+	k.fence = c.leader.epoch
+	switch a := c.action.(type) {
 	case orchestrator.StartRun:
 		return k.startRun(w, a)
 	case orchestrator.StopRun:
@@ -302,7 +312,8 @@
 	return orchestrator.StartAccepted
 }
 
-func (k *fakeWorker) startRun(w *world, a orchestrator.StartRun) orchestrator.StartOutcome {
+// startRun executes a start.
+func (k *fakeWorker) startRun(w *simulation, a orchestrator.StartRun) orchestrator.StartOutcome {
 	if r := k.runs[a.Task]; r != nil && r.number == a.Run {
 		return orchestrator.StartAccepted
 	}
@@ -312,7 +323,7 @@
 	if a.Deadline <= k.clock(w.now) {
 		return orchestrator.StartLate
 	}
-	k.lease = max(k.lease, min(a.Deadline, k.clock(w.now)+10*time.Second))
+	k.leaseEnd = max(k.leaseEnd, min(a.Deadline, k.clock(w.now)+10*time.Second))
 	w.checkStart(k, a)
 	w.starts++
 	r := &fakeRun{task: a.Task, number: a.Run, startedAt: w.now, endsAt: w.now.Add(w.runTime(a.Task, k)), saved: a.Saved, speed: 100}
@@ -321,7 +332,7 @@
 }
 
 // checkStart fails the test if a start breaks a guarantee.
-func (w *world) checkStart(k *fakeWorker, a orchestrator.StartRun) {
+func (w *simulation) checkStart(k *fakeWorker, a orchestrator.StartRun) {
 	j := w.jobs[strings.SplitN(a.Task, ".", 2)[0]]
 	var number, index, task int
 	if _, err := fmt.Sscanf(a.Task[len(j.ID):], ".%d.%d.%d", &number, &index, &task); err != nil {
@@ -351,8 +362,8 @@
 	}
 }
 
-// history returns what was noted of a task.
-func (w *world) history(task string) string {
+// history returns the notes on a task and on lost workers.
+func (w *simulation) history(task string) string {
 	var b strings.Builder
 	for _, n := range w.notes {
 		if n.Task == task || n.Event == orchestrator.EventWorkerLost {
@@ -362,8 +373,8 @@
 	return b.String()
 }
 
-// workerHistory returns what was noted of a worker.
-func (w *world) workerHistory(id string) string {
+// workerHistory returns the notes on a worker.
+func (w *simulation) workerHistory(id string) string {
 	var b strings.Builder
 	for _, n := range w.notes {
 		if n.Worker == id {
@@ -373,7 +384,8 @@
 	return b.String()
 }
 
-func (w *world) sizeOf(task string) orchestrator.Resources {
+// sizeOf returns the size of a task, without the processors if it is best-effort.
+func (w *simulation) sizeOf(task string) orchestrator.Resources {
 	j := w.jobs[strings.SplitN(task, ".", 2)[0]]
 	var number, index, k int
 	if _, err := fmt.Sscanf(task[len(j.ID):], ".%d.%d.%d", &number, &index, &k); err != nil {
@@ -386,19 +398,21 @@
 	return size
 }
 
-func (w *world) elapsed() time.Duration { return w.now.Sub(time.Unix(1e9, 0)).Round(time.Millisecond) }
+func (w *simulation) elapsed() time.Duration {
+	return w.now.Sub(time.Unix(1e9, 0)).Round(time.Millisecond)
+}
 
-// advance ends runs and leases on a worker.
-func (k *fakeWorker) advance(w *world) {
-	lapsed := k.clock(w.now) >= k.lease
-	if lapsed {
-		k.endsBeforeLeaseEnd = k.endCount
+// advance ends the runs on a worker that are due or whose lease has expired.
+func (k *fakeWorker) advance(w *simulation) {
+	expired := k.clock(w.now) >= k.leaseEnd
+	if expired {
+		k.endsBeforeExpiry = k.endCount
 	}
 	for _, name := range slices.Sorted(maps.Keys(k.runs)) {
 		r := k.runs[name]
 		how := orchestrator.EndHow("")
 		switch {
-		case lapsed:
+		case expired:
 			how = orchestrator.EndLapsed
 		case r.stopping && !w.now.Before(r.endsAt):
 			how = orchestrator.EndStopped
@@ -418,7 +432,8 @@
 	}
 }
 
-func (w *world) longRunning(task string) bool {
+// longRunning reports whether a task runs until its job is cancelled.
+func (w *simulation) longRunning(task string) bool {
 	j := w.jobs[strings.SplitN(task, ".", 2)[0]]
 	var number, index, k int
 	if _, err := fmt.Sscanf(task[len(j.ID):], ".%d.%d.%d", &number, &index, &k); err != nil {
@@ -434,7 +449,7 @@
 	if !ok || l.deposed || l.frozen {
 		return
 	}
-	if k.dead || k.cut[l] {
+	if k.dead || k.unreachableFrom[l] {
 		l.step(orchestrator.LookFailed{Worker: k.entry.ID})
 		return
 	}
@@ -444,7 +459,7 @@
 	}
 	k.fence = l.epoch
 	if r.Deadline > 0 {
-		k.lease = max(k.lease, min(r.Deadline, k.clock(w.now)+10*time.Second))
+		k.leaseEnd = max(k.leaseEnd, min(r.Deadline, k.clock(w.now)+10*time.Second))
 	}
 	k.acknowledge(w, r.AckedUpto)
 	a := orchestrator.LookAnswered{Worker: k.entry.ID, Born: k.incarnation, Clock: k.clock(w.now), SentAt: w.now, ReceivedAt: w.now}
@@ -467,9 +482,12 @@
 	l.step(a)
 }
 
-func (k *fakeWorker) acknowledge(w *world, upto int) {
+// acknowledge records the ends that the leader acknowledges. Ends before the expiry of the
+// lease do not count, because the leader may have
+// expired their runs.
+func (k *fakeWorker) acknowledge(w *simulation, upto int) {
 	for _, e := range k.ended {
-		if e.Number > max(k.ackedUpto, k.endsBeforeLeaseEnd) && e.Number <= upto {
+		if e.Number > max(k.ackedUpto, k.endsBeforeExpiry) && e.Number <= upto {
 			switch e.How {
 			case orchestrator.EndDone:
 				w.done[e.Task] = true
@@ -482,9 +500,10 @@
 	k.ackedUpto = max(k.ackedUpto, upto)
 }
 
-// write brings a leader's changes to the store, which only listens to the newest one.
+// write writes a leader's changes to the store, which accepts only those of the current
+// leader.
 func (l *fakeLeader) write(all bool) {
-	if l.noStore || l.deposed || l.frozen {
+	if l.storeUnreachable || l.deposed || l.frozen {
 		return
 	}
 	if l.id != l.w.currentLeader {
@@ -493,7 +512,7 @@
 	}
 	b, _ := l.o.NextBatch(9, all, l.w.now)
 	for _, e := range b.Entries {
-		l.w.stored[e.Record.ID] = e.Record
+		l.w.storedRecords[e.Record.ID] = e.Record
 	}
 	if b.Roster != nil {
 		l.w.roster = *b.Roster
@@ -502,19 +521,20 @@
 	l.step(orchestrator.Written{Batch: b})
 }
 
-// catchUp finds the jobs and requests to cancel of which no notice has come.
+// catchUp reads the jobs and cancel requests from the store, for those whose notice was lost.
 func (l *fakeLeader) catchUp() {
 	for _, id := range slices.Sorted(maps.Keys(l.w.jobs)) {
-		if r, ok := l.w.stored[id]; !ok || !r.State.Final() {
+		if r, ok := l.w.storedRecords[id]; !ok || !r.State.Final() {
 			l.step(orchestrator.JobAccepted{Job: l.w.jobs[id], Revision: l.w.jobs[id].Epoch + 1})
 		}
-		if l.w.cancels[id] {
+		if l.w.cancelRequests[id] {
 			l.step(orchestrator.CancelRequested{ID: id})
 		}
 	}
 }
 
-// handOver ends a leadership cleanly and returns whether its records are complete.
+// handOver ends a leadership cleanly and reports whether its records name the workers of all
+// runs.
 func (l *fakeLeader) handOver() bool {
 	l.step(orchestrator.HandOver{})
 	clean := l.o.KnowsRuns()
@@ -528,8 +548,8 @@
 	return clean
 }
 
-// run lets virtual time pass in steps of 10 ms.
-func (w *world) run(d time.Duration) {
+// run advances the virtual time by d, in steps of 10 ms.
+func (w *simulation) run(d time.Duration) {
 	const step = 10 * time.Millisecond
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.now = w.now.Add(step)
@@ -537,15 +557,15 @@
 	}
 }
 
-func (w *world) tick(time.Duration) {
-	orders := w.pendingCommands
+func (w *simulation) tick(time.Duration) {
+	commands := w.pendingCommands
 	w.pendingCommands = nil
-	for _, o := range orders {
-		if o.at.After(w.now) {
-			w.pendingCommands = append(w.pendingCommands, o)
+	for _, c := range commands {
+		if c.at.After(w.now) {
+			w.pendingCommands = append(w.pendingCommands, c)
 			continue
 		}
-		w.deliver(o)
+		w.deliver(c)
 	}
 	ms := w.elapsed().Milliseconds()
 	for _, n := range slices.Sorted(maps.Keys(w.workers)) {
@@ -557,9 +577,9 @@
 		if l.deposed || l.frozen {
 			continue
 		}
-		inbox := l.inbox
-		l.inbox = nil
-		for _, e := range inbox {
+		answers := l.pendingAnswers
+		l.pendingAnswers = nil
+		for _, e := range answers {
 			l.step(e)
 		}
 		if ms%50 == 0 {
@@ -568,7 +588,7 @@
 		if ms%100 == 0 {
 			l.write(false)
 		}
-		if ms%1000 == 0 && !l.noStore {
+		if ms%1000 == 0 && !l.storeUnreachable {
 			l.catchUp()
 		}
 		for i, n := range slices.Sorted(maps.Keys(l.watched)) {
@@ -579,14 +599,14 @@
 	}
 }
 
-// state returns a job's state as callers of the newest leader see it.
-func (w *world) state(id string) orchestrator.State {
+// state returns a job's state as callers of the current leader see it.
+func (w *simulation) state(id string) orchestrator.State {
 	s, _ := w.leader().o.State(id)
 	return s
 }
 
-// runningOn returns the workers on which tasks of a job run.
-func (w *world) runningOn(id string) []string {
+// runningOn returns the worker of each running task of a job, sorted.
+func (w *simulation) runningOn(id string) []string {
 	var ws []string
 	for _, n := range slices.Sorted(maps.Keys(w.workers)) {
 		for t := range w.workers[n].runs {
@@ -602,6 +622,7 @@
 	return orchestrator.Resources{CPU: int(1000 * n), Memory: 1000 * gigabytes}
 }
 
+// simpleJob returns a job of one step.
 func simpleJob(id string, tasks int, size orchestrator.Resources) orchestrator.Job {
 	return orchestrator.Job{ID: id, Steps: []orchestrator.Step{{Count: tasks, Size: size, Estimate: time.Second}}}
 }
