--- a/internal/orchestrator/event.go
+++ b/internal/orchestrator/event.go
@@ -70,12 +70,12 @@
 
 // Values of EndHow.
 const (
-	EndDone    EndHow = "done"
-	EndFailed  EndHow = "failed"
-	EndStopped EndHow = "stopped"
-	EndLapsed  EndHow = "lapsed" // its lease ended
-	EndBroken  EndHow = "broken" // another member of its gang has ended
-	EndAlone   EndHow = "alone"  // the other members of its gang have not started
+	EndDone           EndHow = "done"
+	EndFailed         EndHow = "failed"
+	EndStopped        EndHow = "stopped"
+	EndLapsed         EndHow = "lapsed" // its lease ended
+	EndGangBroken     EndHow = "broken" // another member of its gang has ended
+	EndGangIncomplete EndHow = "alone"  // the other members of its gang have not started
 )
 
 // EndedRow is a run that a worker lists as ended.
--- a/internal/orchestrator/job.go
+++ b/internal/orchestrator/job.go
@@ -113,7 +113,7 @@
 func (j *Job) Validate() error {
 	switch {
 	case len(j.Steps) == 0 || len(j.Steps) > maxSteps:
-		return &InvalidJobError{-1, fmt.Sprintf("%d steps, 1 to %d are allowed", len(j.Steps), maxSteps)}
+		return &InvalidJobError{-1, fmt.Sprintf("it has %d steps, 1 to %d are allowed", len(j.Steps), maxSteps)}
 	case j.Occurrences < 0 || j.Occurrences > maxOccurrences:
 		return &InvalidJobError{-1, fmt.Sprintf("%d occurrences, 0 to %d are allowed", j.Occurrences, maxOccurrences)}
 	case j.Interval < 0:
--- a/internal/orchestrator/orchestrator.go
+++ b/internal/orchestrator/orchestrator.go
@@ -53,7 +53,7 @@
 	inherited      bool            // Inherited has been applied
 	handedOff      bool            // the earlier leader handed over cleanly
 	confirmedAt    time.Time       // when it was last certain that no other leader had been elected
-	experienceAt   time.Time       // when NextBatch last returned the experience
+	statisticsAt   time.Time       // when NextBatch last returned the workload statistics
 	rosterVersion  uint64          // of the last change
 	rosterWritten  uint64          // version that is in the store
 	dirty          map[string]*job // jobs with unwritten changes, by ID
@@ -301,7 +301,7 @@
 // inherit takes over the state that an earlier leader left in the store.
 func (o *Orchestrator) inherit(e Inherited) {
 	o.inherited, o.handedOff, o.passDue = true, e.HandedOff, true
-	o.restoreExperience(e.Learnt)
+	o.restoreWorkloadStatistics(e.Learnt)
 	for _, r := range e.Finished {
 		o.finished[r.ID] = finishedJob{queue: r.Queue, state: r.State, at: r.FinishedAt}
 	}
--- a/internal/orchestrator/place.go
+++ b/internal/orchestrator/place.go
@@ -61,11 +61,11 @@
 // they may cause.
 const lateMinHeadroom = 0.03
 
-// Forecasts. Steps are ordered by their text.
+// Forecasts. Steps are ordered by the text of their forecast.
 const (
-	forecastOnTime forecast = "1 timely"   // the job can meet its deadline
-	forecastLate   forecast = "2 late"     // the job can end within lateFactor times its time to the deadline
-	forecastMissed forecast = "3 hopeless" // the job must still be finished
+	forecastOnTime forecast = "1 on time" // the job can meet its deadline
+	forecastLate   forecast = "2 late"    // the job can end within lateFactor times its time to the deadline
+	forecastMissed forecast = "3 missed"  // the job will end later still, but must be finished
 )
 
 // scheduleStep starts the step's waiting tasks for which a worker is found and returns the
--- a/internal/orchestrator/queue.go
+++ b/internal/orchestrator/queue.go
@@ -17,7 +17,7 @@
 
 // schedule starts tasks on workers, the most urgent first.
 func (o *Orchestrator) schedule() {
-	o.lightlyLoaded = o.updateLoadState()
+	o.lightlyLoaded = o.updateLoad()
 	p := &pass{candidates: make(map[string][]*worker), reasons: make(map[string]string), unplaced: make(map[string]Resources)}
 	for _, w := range o.workersByID() {
 		if w.inherited && !w.resolved && !w.idle {
@@ -89,9 +89,9 @@
 // other workers as usable than the leader does, so that the bound here is higher.
 const lightLoadShare = 0.6
 
-// updateLoadState reports whether the load is light: a job with nothing running must then
+// updateLoad reports whether the load is light: a job with nothing running must then
 // start even where it is slowed. It also sets capacityScarce.
-func (o *Orchestrator) updateLoadState() bool {
+func (o *Orchestrator) updateLoad() bool {
 	capacity, used := 0, 0
 	for _, w := range o.workersByID() {
 		if ok, _ := o.usable(w); ok {
@@ -159,11 +159,11 @@
 		}
 		oc.remainingRunTime = max(oc.remainingRunTime, ends[i])
 	}
-	likely := oc.remainingRunTime
+	expected := oc.remainingRunTime
 	if !oc.begun() {
-		likely = time.Duration(unstartedDelayFactor * float64(likely))
+		expected = time.Duration(unstartedDelayFactor * float64(expected))
 	}
-	end := o.now.Add(likely)
+	end := o.now.Add(expected)
 	oc.forecastAt = o.now
 	switch {
 	case !end.After(oc.deadline()):
--- a/internal/orchestrator/record.go
+++ b/internal/orchestrator/record.go
@@ -204,8 +204,8 @@
 	return e, nil
 }
 
-// experience returns the statistics of this leader.
-func (o *Orchestrator) experience() *Experience {
+// workloadStatistics returns the statistics of this leader.
+func (o *Orchestrator) workloadStatistics() *Experience {
 	e := &Experience{Ratios: make(map[string]float64), Variances: make(map[string]float64)}
 	for critical, pairs := range o.interference.pairs {
 		for bestEffort, p := range pairs {
@@ -223,8 +223,8 @@
 	return e
 }
 
-// restoreExperience takes over the statistics of an earlier leader.
-func (o *Orchestrator) restoreExperience(e Experience) {
+// restoreWorkloadStatistics takes over the statistics of an earlier leader.
+func (o *Orchestrator) restoreWorkloadStatistics(e Experience) {
 	for _, p := range e.Pairs {
 		r := o.interference.pair(p.Serving, p.Filler)
 		r.coefficient, r.samples, r.covariance[p.Filler] = p.Coefficient, p.Samples, p.Variance
--- a/internal/orchestrator/run.go
+++ b/internal/orchestrator/run.go
@@ -134,11 +134,11 @@
 	return r
 }
 
-// send sends a run's start. Its lease is valid only if no later leader can exist yet.
+// send sends a run's start, unless its lease would be shorter than minLease.
 func (o *Orchestrator) send(r *run) {
 	d, ok := o.deadline(r.worker)
 	if !ok {
-		return // repeated once the leader's authority is confirmed
+		return // sent again once the leadership has been confirmed
 	}
 	r.inFlight, r.sentAt = true, o.now
 	o.emit(StartRun{Worker: r.worker.ID, Task: r.task.name, Run: r.number, Spec: r.task.job().Spec, Deadline: d, Saved: r.saved, Ticket: r.ticket})
@@ -386,7 +386,7 @@
 		o.recordRunOutcome(w, j, true)
 		t.avoidWorker(w)
 		o.countFailure(t, row.Run)
-	case EndStopped, EndLapsed, EndBroken, EndAlone:
+	case EndStopped, EndLapsed, EndGangBroken, EndGangIncomplete:
 		// Not the task's own failure: it starts again and the attempt does not count.
 	}
 }
@@ -516,8 +516,8 @@
 // acknowledged only after it, and until then each poll lists them again.
 const batchDelay = 80 * time.Millisecond
 
-// experienceInterval is the pause between two writes of the leader's Experience.
-const experienceInterval = 2 * time.Second
+// statisticsInterval is the pause between two writes of the leader's workload statistics.
+const statisticsInterval = 2 * time.Second
 
 // NextBatch returns the most urgent changes, of at most limit jobs, and false if there are
 // none. all includes changes that are younger than batchDelay.
@@ -544,9 +544,9 @@
 			}
 		}
 	}
-	if now.Sub(o.experienceAt) >= experienceInterval {
-		o.experienceAt = now
-		b.Learnt = o.experience()
+	if now.Sub(o.statisticsAt) >= statisticsInterval {
+		o.statisticsAt = now
+		b.Learnt = o.workloadStatistics()
 	}
 	return b, len(b.Entries) > 0 || b.Roster != nil
 }
--- a/internal/orchestrator/worker.go
+++ b/internal/orchestrator/worker.go
@@ -192,22 +192,22 @@
 	o.emit(Note{Event: EventWorkerListed, Worker: id, Outcome: "gone"})
 }
 
-// LookRequest holds the parameters of the next poll of a worker.
-type LookRequest struct {
+// PollRequest holds the parameters of the next poll of a worker.
+type PollRequest struct {
 	Deadline  time.Duration // on the worker's clock; 0: leases are not extended
 	AckedUpto int           // ends up to this number are in the store
-	Brief     bool          // the worker's figures are needed soon: the poll must not wait for changes
+	Brief     bool          // the worker's figures are needed soon: it waits for changes only briefly
 }
 
 // NextLook returns the parameters of the next poll of a worker, and false if it must not be
 // polled any more.
-func (o *Orchestrator) NextLook(id string, now time.Time) (LookRequest, bool) {
+func (o *Orchestrator) NextLook(id string, now time.Time) (PollRequest, bool) {
 	w := o.workers[id]
 	if w == nil || o.deposed || o.leaving {
-		return LookRequest{}, false
+		return PollRequest{}, false
 	}
 	o.now = now
-	r := LookRequest{AckedUpto: w.ackedUpto, Brief: w.load.latencyCritical > 0 && w.load.bestEffort > 0 || len(w.runs) == 0 && !w.resolved}
+	r := PollRequest{AckedUpto: w.ackedUpto, Brief: w.load.latencyCritical > 0 && w.load.bestEffort > 0 || len(w.runs) == 0 && !w.resolved}
 	// A poll without an answer may still have arrived. If each try extended the leases of an
 	// unreachable worker, its runs would never expire.
 	if len(w.runs) > 0 && !w.unreachable {
@@ -294,7 +294,7 @@
 
 // applyRunning reconciles the leader's runs on a worker with the runs that the worker lists.
 func (o *Orchestrator) applyRunning(w *worker, e LookAnswered) {
-	tail := 0.0
+	tailRatio := 0.0
 	w.unknownRuns = 0
 	for _, row := range e.Running {
 		r := w.runs[runKey{row.Task, row.Run}]
@@ -306,7 +306,7 @@
 			continue
 		}
 		o.updateRun(r, row)
-		tail = max(tail, r.tailRatio)
+		tailRatio = max(tailRatio, r.tailRatio)
 	}
 	for _, r := range w.missing(e) {
 		o.emit(Note{Event: EventRunLost, Job: r.task.job().ID, Task: r.task.name, Run: r.number, Worker: w.ID,
@@ -314,7 +314,7 @@
 		o.removeRun(r)
 	}
 	if w.load.latencyCritical > 0 {
-		w.tailRatio, w.tailAt = tail, e.ReceivedAt
+		w.tailRatio, w.tailAt = tailRatio, e.ReceivedAt
 		o.updateInterference(w, e.Running)
 	} else {
 		w.tailRatio = 0
