--- /dev/null
+++ b/internal/orchestrator/simulation_test.go
@@ -0,0 +1,628 @@
+package orchestrator_test
+
+import (
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"net/netip"
+	"slices"
+	"strings"
+	"time"
+
+	"peridotpitch/internal/orchestrator"
+)
+
+// simulation runs workers, a store and leaders in virtual time. Its workers execute commands
+// as the platform describes it, and it fails the test at each start that breaks a guarantee.
+type simulation struct {
+	t               reporter
+	now             time.Time
+	rng             *rand.Rand
+	epoch           uint64
+	workers         map[string]*fakeWorker
+	leaders         []*fakeLeader
+	jobs            map[string]orchestrator.Job
+	storedRecords   map[string]orchestrator.Record
+	cancelRequests  map[string]bool
+	roster          orchestrator.Roster
+	currentLeader   int // index of the leader whose writes the store accepts
+	pendingCommands []pendingCommand
+	done            map[string]bool // tasks with an acknowledged end as done
+	failed          map[string]int  // number of acknowledged failures, by task
+	starts          int
+	faults          faults
+	succeeds        func(task string, run int) bool // whether a run ends as done
+	runTime         func(task string, w *fakeWorker) time.Duration
+	notes           []orchestrator.Note
+	wallOffset      time.Duration
+}
+
+// faults are probabilities.
+type faults struct {
+	dropped     float64 // a command gets no answer and is not executed
+	appliedLate float64 // a command gets no answer and is executed 2 to 12 s later
+}
+
+// pendingCommand is a command on the way to a worker.
+type pendingCommand struct {
+	at     time.Time // of its arrival
+	worker string    // worker that executes it late, after it got no answer; else empty
+	leader *fakeLeader
+	action orchestrator.Action
+}
+
+// fakeRun is a run on a fakeWorker.
+type fakeRun struct {
+	task      string
+	number    int
+	startedAt time.Time
+	endsAt    time.Time
+	saved     string
+	stopping  bool
+	speed     int
+}
+
+// fakeWorker is a simulated worker.
+type fakeWorker struct {
+	entry            orchestrator.WorkerEntry
+	incarnation      int64
+	startedAt        time.Time
+	fence            uint64
+	leaseEnd         time.Duration // on the worker's clock
+	runs             map[string]*fakeRun
+	lastEndedRun     map[string]int // highest number of a run that was stopped or has ended, by task
+	ended            []orchestrator.EndedRow
+	endCount         int
+	ackedUpto        int
+	endsBeforeExpiry int // the lease has expired after the ends up to this number
+	unreachableFrom  map[*fakeLeader]bool
+	dead             bool
+	failsTasks       bool // each run ends as failed
+	hangsTasks       bool // runs make no progress
+	ignoredStops     int  // number of stops that it answers without executing them
+	tailLatencyMs    map[string]int
+}
+
+// fakeLeader is an Orchestrator with its process and its connections.
+type fakeLeader struct {
+	w                *simulation
+	id               int
+	epoch            uint64
+	o                *orchestrator.Orchestrator
+	watched          map[string]bool
+	polledAt         map[string]time.Time
+	storeUnreachable bool
+	deposed          bool
+	frozen           bool
+	pendingAnswers   []orchestrator.Event
+}
+
+// reporter fails a test: *testing.T or *rapid.T.
+type reporter interface {
+	Fatalf(format string, args ...any)
+}
+
+func newSimulation(t reporter, seed uint64) *simulation {
+	return &simulation{
+		t: t, now: time.Unix(1e9, 0), rng: rand.New(rand.NewPCG(seed, 1)),
+		workers: make(map[string]*fakeWorker), jobs: make(map[string]orchestrator.Job),
+		storedRecords: make(map[string]orchestrator.Record), cancelRequests: make(map[string]bool),
+		done: make(map[string]bool), failed: make(map[string]int),
+		succeeds: func(string, int) bool { return true },
+		runTime:  func(string, *fakeWorker) time.Duration { return time.Second },
+	}
+}
+
+// newCluster returns a simulation with n identical workers of one rack, named w0 and so on,
+// and a leader that has polled them.
+func newCluster(t reporter, n int, capacity orchestrator.Resources) *simulation {
+	w := newSimulation(t, 1)
+	for i := range n {
+		w.addWorker(fmt.Sprintf("w%d", i), capacity, "r0")
+	}
+	w.elect(false)
+	w.run(time.Second)
+	return w
+}
+
+func (w *simulation) addWorker(name string, capacity orchestrator.Resources, rack string) *fakeWorker {
+	k := &fakeWorker{
+		entry: orchestrator.WorkerEntry{ID: name, Service: "s", Room: capacity, Rack: rack, Labels: []string{"a", rack},
+			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(len(w.workers) + 1)}), 80)},
+		incarnation: w.now.UnixMilli(), startedAt: w.now, runs: make(map[string]*fakeRun), lastEndedRun: make(map[string]int),
+		unreachableFrom: make(map[*fakeLeader]bool), tailLatencyMs: make(map[string]int),
+	}
+	w.workers[name] = k
+	return k
+}
+
+// listedWorkers returns the entries of all workers that have not died.
+func (w *simulation) listedWorkers() []orchestrator.WorkerEntry {
+	var es []orchestrator.WorkerEntry
+	for _, n := range slices.Sorted(maps.Keys(w.workers)) {
+		if !w.workers[n].dead {
+			es = append(es, w.workers[n].entry)
+		}
+	}
+	return es
+}
+
+// elect adds a new leader. From then on the store accepts only its writes.
+func (w *simulation) elect(handedOff bool) *fakeLeader {
+	w.epoch += 100
+	l := &fakeLeader{w: w, id: len(w.leaders), epoch: w.epoch, watched: make(map[string]bool), polledAt: make(map[string]time.Time)}
+	l.o = orchestrator.New(orchestrator.Settings{
+		Epoch: w.epoch, ElectedAt: w.now, ConfirmedAt: w.now, Lease: 4500 * time.Millisecond, Authority: 9 * time.Second,
+		MaxLease: 10 * time.Second, Retention: time.Hour, FarFactor: 3,
+	})
+	w.leaders = append(w.leaders, l)
+	w.currentLeader = l.id
+	inherited := orchestrator.Inherited{Roster: w.roster, HandedOff: handedOff}
+	for _, id := range slices.Sorted(maps.Keys(w.jobs)) {
+		j := orchestrator.InheritedJob{Job: w.jobs[id], Cancelled: w.cancelRequests[id]}
+		if r, ok := w.storedRecords[id]; ok {
+			j.Record = &r
+			if r.State.Final() {
+				inherited.Finished = append(inherited.Finished, r)
+				continue
+			}
+		}
+		inherited.Jobs = append(inherited.Jobs, j)
+	}
+	l.step(inherited)
+	l.step(orchestrator.WorkersListed{Workers: w.listedWorkers()})
+	return l
+}
+
+func (w *simulation) leader() *fakeLeader { return w.leaders[w.currentLeader] }
+
+// submit stores a job under the current leader.
+func (w *simulation) submit(j orchestrator.Job) {
+	if j.Submitted.IsZero() {
+		j.Submitted = w.now
+	}
+	j.Epoch = w.leader().epoch
+	if j.Policy.Service == "" {
+		j.Policy = orchestrator.Policy{Queue: j.Policy.Queue, Service: "s", Attempts: max(3, j.Policy.Attempts), Priority: j.Policy.Priority, Stretch: 2, TargetDuration: time.Second}
+	}
+	w.jobs[j.ID] = j
+	w.leader().step(orchestrator.JobAccepted{Job: j, Revision: j.Epoch + 1})
+}
+
+func (w *simulation) cancel(id string) {
+	w.cancelRequests[id] = true
+	w.leader().step(orchestrator.CancelRequested{ID: id})
+}
+
+// step passes an event to the leader, unless its process is frozen or has stepped down.
+func (l *fakeLeader) step(e orchestrator.Event) {
+	if l.deposed {
+		return
+	}
+	if l.frozen {
+		switch e.(type) {
+		case orchestrator.StartAnswered, orchestrator.StopAnswered, orchestrator.PaceAnswered:
+			l.pendingAnswers = append(l.pendingAnswers, e) // read when the process continues
+		}
+		return
+	}
+	for _, a := range l.o.Step(e, l.w.now) {
+		l.handleAction(a)
+	}
+}
+
+// handleAction handles an action of the leader.
+func (l *fakeLeader) handleAction(a orchestrator.Action) {
+	w := l.w
+	switch a := a.(type) {
+	case orchestrator.WatchWorker:
+		l.watched[a.Worker.ID] = true
+	case orchestrator.ForgetWorker:
+		delete(l.watched, a.ID)
+	case orchestrator.StepDown:
+		l.deposed = true
+	case orchestrator.Note:
+		w.notes = append(w.notes, a)
+	case orchestrator.StartRun, orchestrator.StopRun, orchestrator.PaceRun:
+		// Commands arrive after the step that sent them.
+		w.pendingCommands = append(w.pendingCommands, pendingCommand{at: w.now.Add(time.Millisecond), leader: l, action: a})
+	case orchestrator.WriteSoon, orchestrator.AskAdvice:
+	}
+}
+
+// deliver executes a command, drops it or delays it.
+func (w *simulation) deliver(c pendingCommand) {
+	answered := c.worker == ""
+	worker := ""
+	switch a := c.action.(type) {
+	case orchestrator.StartRun:
+		worker = a.Worker
+	case orchestrator.StopRun:
+		worker = a.Worker
+	case orchestrator.PaceRun:
+		worker = a.Worker
+	}
+	k := w.workers[worker]
+	if k == nil || k.dead || k.unreachableFrom[c.leader] {
+		if answered {
+			w.answerCommand(c, orchestrator.StartUnknown)
+		}
+		return
+	}
+	if answered {
+		switch p := w.rng.Float64(); {
+		case p < w.faults.dropped:
+			w.answerCommand(c, orchestrator.StartUnknown)
+			return
+		case p < w.faults.dropped+w.faults.appliedLate:
+			w.answerCommand(c, orchestrator.StartUnknown)
+			c.worker, c.at = worker, w.now.Add(2*time.Second+time.Duration(w.rng.Int64N(int64(10*time.Second))))
+			w.pendingCommands = append(w.pendingCommands, c)
+			return
+		}
+	}
+	outcome := k.execute(w, c)
+	if answered {
+		w.answerCommand(c, outcome)
+	}
+}
+
+// answerCommand passes the outcome of a command to the leader that sent it.
+func (w *simulation) answerCommand(c pendingCommand, outcome orchestrator.StartOutcome) {
+	answered := outcome != orchestrator.StartUnknown
+	switch a := c.action.(type) {
+	case orchestrator.StartRun:
+		c.leader.step(orchestrator.StartAnswered{Worker: a.Worker, Task: a.Task, Run: a.Run, Outcome: outcome})
+	case orchestrator.StopRun:
+		c.leader.step(orchestrator.StopAnswered{Worker: a.Worker, Task: a.Task, Run: a.Run, Answered: answered, Fenced: outcome == orchestrator.StartFenced})
+	case orchestrator.PaceRun:
+		c.leader.step(orchestrator.PaceAnswered{Worker: a.Worker, Task: a.Task, Run: a.Run, Percent: a.Percent, Answered: answered})
+	}
+}
+
+// clock returns the worker's clock, which is 2% slow, the most that the platform allows.
+func (k *fakeWorker) clock(now time.Time) time.Duration {
+	return time.Duration(0.98 * float64(now.Sub(k.startedAt)))
+}
+
+// execute executes a command and returns its outcome. A stop or a throttle command that the
+// worker has executed returns StartAccepted too.
+func (k *fakeWorker) execute(w *simulation, c pendingCommand) orchestrator.StartOutcome {
+	if c.leader.epoch < k.fence {
+		return orchestrator.StartFenced
+	}
+	k.fence = c.leader.epoch
+	switch a := c.action.(type) {
+	case orchestrator.StartRun:
+		return k.startRun(w, a)
+	case orchestrator.StopRun:
+		if k.ignoredStops > 0 {
+			k.ignoredStops--
+			return orchestrator.StartAccepted
+		}
+		k.lastEndedRun[a.Task] = max(k.lastEndedRun[a.Task], a.Run)
+		if r := k.runs[a.Task]; r != nil && r.number == a.Run && !r.stopping {
+			r.stopping, r.endsAt = true, w.now.Add(300*time.Millisecond)
+		}
+	case orchestrator.PaceRun:
+		if r := k.runs[a.Task]; r != nil && r.number == a.Run {
+			r.speed = a.Percent
+		}
+	}
+	return orchestrator.StartAccepted
+}
+
+// startRun executes a start.
+func (k *fakeWorker) startRun(w *simulation, a orchestrator.StartRun) orchestrator.StartOutcome {
+	if r := k.runs[a.Task]; r != nil && r.number == a.Run {
+		return orchestrator.StartAccepted
+	}
+	if a.Run <= k.lastEndedRun[a.Task] || k.runs[a.Task] != nil {
+		return orchestrator.StartOld
+	}
+	if a.Deadline <= k.clock(w.now) {
+		return orchestrator.StartLate
+	}
+	k.leaseEnd = max(k.leaseEnd, min(a.Deadline, k.clock(w.now)+10*time.Second))
+	w.checkStart(k, a)
+	w.starts++
+	r := &fakeRun{task: a.Task, number: a.Run, startedAt: w.now, endsAt: w.now.Add(w.runTime(a.Task, k)), saved: a.Saved, speed: 100}
+	k.runs[a.Task] = r
+	return orchestrator.StartAccepted
+}
+
+// checkStart fails the test if a start breaks a guarantee.
+func (w *simulation) checkStart(k *fakeWorker, a orchestrator.StartRun) {
+	j := w.jobs[strings.SplitN(a.Task, ".", 2)[0]]
+	var number, index, task int
+	if _, err := fmt.Sscanf(a.Task[len(j.ID):], ".%d.%d.%d", &number, &index, &task); err != nil {
+		w.t.Fatalf("task %q has no step: %v", a.Task, err)
+	}
+	s := j.Steps[index]
+	for n, other := range w.workers {
+		if r := other.runs[a.Task]; r != nil && !other.dead && !s.Speculative {
+			w.t.Fatalf("%s: run %d of %s starts on %s while run %d is on %s%s", w.elapsed(), a.Run, a.Task, k.entry.ID, r.number, n, w.history(a.Task))
+		}
+	}
+	if w.done[a.Task] {
+		w.t.Fatalf("%s: run %d of %s starts after an acknowledged end as done%s", w.elapsed(), a.Run, a.Task, w.history(a.Task))
+	}
+	if !s.LongRunning && w.failed[a.Task] >= j.Policy.Attempts {
+		w.t.Fatalf("%s: run %d of %s starts after %d failures", w.elapsed(), a.Run, a.Task, w.failed[a.Task])
+	}
+	used := orchestrator.Resources{}
+	for _, r := range k.runs {
+		size := w.sizeOf(r.task)
+		used.CPU += size.CPU
+		used.Memory += size.Memory
+	}
+	size := w.sizeOf(a.Task)
+	if used.CPU+size.CPU > k.entry.Room.CPU || used.Memory+size.Memory > k.entry.Room.Memory {
+		w.t.Fatalf("%s: %s does not fit on %s beside %+v: %v%s", w.elapsed(), a.Task, k.entry.ID, used, slices.Sorted(maps.Keys(k.runs)), w.workerHistory(k.entry.ID))
+	}
+}
+
+// history returns the notes on a task and on lost workers.
+func (w *simulation) history(task string) string {
+	var b strings.Builder
+	for _, n := range w.notes {
+		if n.Task == task || n.Event == orchestrator.EventWorkerLost {
+			fmt.Fprintf(&b, "\n%+v", n)
+		}
+	}
+	return b.String()
+}
+
+// workerHistory returns the notes on a worker.
+func (w *simulation) workerHistory(id string) string {
+	var b strings.Builder
+	for _, n := range w.notes {
+		if n.Worker == id {
+			fmt.Fprintf(&b, "\n%+v", n)
+		}
+	}
+	return b.String()
+}
+
+// sizeOf returns the size of a task, without the processors if it is best-effort.
+func (w *simulation) sizeOf(task string) orchestrator.Resources {
+	j := w.jobs[strings.SplitN(task, ".", 2)[0]]
+	var number, index, k int
+	if _, err := fmt.Sscanf(task[len(j.ID):], ".%d.%d.%d", &number, &index, &k); err != nil {
+		w.t.Fatalf("task %q has no step: %v", task, err)
+	}
+	size := j.Steps[index].Size
+	if j.Steps[index].Fills {
+		size.CPU = 0
+	}
+	return size
+}
+
+func (w *simulation) elapsed() time.Duration {
+	return w.now.Sub(time.Unix(1e9, 0)).Round(time.Millisecond)
+}
+
+// advance ends the runs on a worker that are due or whose lease has expired.
+func (k *fakeWorker) advance(w *simulation) {
+	expired := k.clock(w.now) >= k.leaseEnd
+	if expired {
+		k.endsBeforeExpiry = k.endCount
+	}
+	for _, name := range slices.Sorted(maps.Keys(k.runs)) {
+		r := k.runs[name]
+		how := orchestrator.EndHow("")
+		switch {
+		case expired:
+			how = orchestrator.EndLapsed
+		case r.stopping && !w.now.Before(r.endsAt):
+			how = orchestrator.EndStopped
+		case !r.stopping && !k.hangsTasks && !w.now.Before(r.endsAt) && !w.longRunning(name):
+			how = orchestrator.EndDone
+			if k.failsTasks || !w.succeeds(name, r.number) {
+				how = orchestrator.EndFailed
+			}
+		}
+		if how == "" {
+			continue
+		}
+		delete(k.runs, name)
+		k.lastEndedRun[name] = max(k.lastEndedRun[name], r.number)
+		k.endCount++
+		k.ended = append(k.ended, orchestrator.EndedRow{Number: k.endCount, Task: name, Run: r.number, How: how, Saved: r.saved})
+	}
+}
+
+// longRunning reports whether a task runs until its job is cancelled.
+func (w *simulation) longRunning(task string) bool {
+	j := w.jobs[strings.SplitN(task, ".", 2)[0]]
+	var number, index, k int
+	if _, err := fmt.Sscanf(task[len(j.ID):], ".%d.%d.%d", &number, &index, &k); err != nil {
+		return false
+	}
+	return j.Steps[index].LongRunning
+}
+
+// poll is one poll of a leader at a worker.
+func (l *fakeLeader) poll(k *fakeWorker) {
+	w := l.w
+	r, ok := l.o.NextLook(k.entry.ID, w.now)
+	if !ok || l.deposed || l.frozen {
+		return
+	}
+	if k.dead || k.unreachableFrom[l] {
+		l.step(orchestrator.LookFailed{Worker: k.entry.ID})
+		return
+	}
+	if l.epoch < k.fence {
+		l.step(orchestrator.LookFailed{Worker: k.entry.ID, Fenced: true})
+		return
+	}
+	k.fence = l.epoch
+	if r.Deadline > 0 {
+		k.leaseEnd = max(k.leaseEnd, min(r.Deadline, k.clock(w.now)+10*time.Second))
+	}
+	k.acknowledge(w, r.AckedUpto)
+	a := orchestrator.LookAnswered{Worker: k.entry.ID, Born: k.incarnation, Clock: k.clock(w.now), SentAt: w.now, ReceivedAt: w.now}
+	for _, name := range slices.Sorted(maps.Keys(k.runs)) {
+		run := k.runs[name]
+		percent := 100
+		if !w.longRunning(name) {
+			percent = min(99, int(100*w.now.Sub(run.startedAt)/max(1, run.endsAt.Sub(run.startedAt))))
+		}
+		if k.hangsTasks {
+			percent = 1
+		}
+		a.Running = append(a.Running, orchestrator.RunningRow{Task: name, Run: run.number, Percent: percent, Figure: k.tailLatencyMs[name]})
+	}
+	for _, e := range k.ended {
+		if e.Number > k.ackedUpto {
+			a.Ended = append(a.Ended, e)
+		}
+	}
+	l.step(a)
+}
+
+// acknowledge records the ends that the leader acknowledges. Ends before the expiry of the
+// lease do not count, because the leader may have
+// expired their runs.
+func (k *fakeWorker) acknowledge(w *simulation, upto int) {
+	for _, e := range k.ended {
+		if e.Number > max(k.ackedUpto, k.endsBeforeExpiry) && e.Number <= upto {
+			switch e.How {
+			case orchestrator.EndDone:
+				w.done[e.Task] = true
+			case orchestrator.EndFailed:
+				w.failed[e.Task]++
+			default:
+			}
+		}
+	}
+	k.ackedUpto = max(k.ackedUpto, upto)
+}
+
+// write writes a leader's changes to the store, which accepts only those of the current
+// leader.
+func (l *fakeLeader) write(all bool) {
+	if l.storeUnreachable || l.deposed || l.frozen {
+		return
+	}
+	if l.id != l.w.currentLeader {
+		l.deposed = true
+		return
+	}
+	b, _ := l.o.NextBatch(9, all, l.w.now)
+	for _, e := range b.Entries {
+		l.w.storedRecords[e.Record.ID] = e.Record
+	}
+	if b.Roster != nil {
+		l.w.roster = *b.Roster
+	}
+	l.step(orchestrator.Confirmed{SentAt: l.w.now})
+	l.step(orchestrator.Written{Batch: b})
+}
+
+// catchUp reads the jobs and cancel requests from the store, for those whose notice was lost.
+func (l *fakeLeader) catchUp() {
+	for _, id := range slices.Sorted(maps.Keys(l.w.jobs)) {
+		if r, ok := l.w.storedRecords[id]; !ok || !r.State.Final() {
+			l.step(orchestrator.JobAccepted{Job: l.w.jobs[id], Revision: l.w.jobs[id].Epoch + 1})
+		}
+		if l.w.cancelRequests[id] {
+			l.step(orchestrator.CancelRequested{ID: id})
+		}
+	}
+}
+
+// handOver ends a leadership cleanly and reports whether its records name the workers of all
+// runs.
+func (l *fakeLeader) handOver() bool {
+	l.step(orchestrator.HandOver{})
+	clean := l.o.KnowsRuns()
+	for range 1000 {
+		if _, more := l.o.NextBatch(9, true, l.w.now); !more {
+			break
+		}
+		l.write(true)
+	}
+	l.deposed = true
+	return clean
+}
+
+// run advances the virtual time by d, in steps of 10 ms.
+func (w *simulation) run(d time.Duration) {
+	const step = 10 * time.Millisecond
+	for end := w.now.Add(d); w.now.Before(end); {
+		w.now = w.now.Add(step)
+		w.tick(step)
+	}
+}
+
+func (w *simulation) tick(time.Duration) {
+	commands := w.pendingCommands
+	w.pendingCommands = nil
+	for _, c := range commands {
+		if c.at.After(w.now) {
+			w.pendingCommands = append(w.pendingCommands, c)
+			continue
+		}
+		w.deliver(c)
+	}
+	ms := w.elapsed().Milliseconds()
+	for _, n := range slices.Sorted(maps.Keys(w.workers)) {
+		if k := w.workers[n]; !k.dead {
+			k.advance(w)
+		}
+	}
+	for _, l := range w.leaders {
+		if l.deposed || l.frozen {
+			continue
+		}
+		answers := l.pendingAnswers
+		l.pendingAnswers = nil
+		for _, e := range answers {
+			l.step(e)
+		}
+		if ms%50 == 0 {
+			l.step(orchestrator.Tick{WallOffset: w.wallOffset})
+		}
+		if ms%100 == 0 {
+			l.write(false)
+		}
+		if ms%1000 == 0 && !l.storeUnreachable {
+			l.catchUp()
+		}
+		for i, n := range slices.Sorted(maps.Keys(l.watched)) {
+			if (ms/10)%10 == int64(i%10) {
+				l.poll(w.workers[n])
+			}
+		}
+	}
+}
+
+// state returns a job's state as callers of the current leader see it.
+func (w *simulation) state(id string) orchestrator.State {
+	s, _ := w.leader().o.State(id)
+	return s
+}
+
+// runningOn returns the worker of each running task of a job, sorted.
+func (w *simulation) runningOn(id string) []string {
+	var ws []string
+	for _, n := range slices.Sorted(maps.Keys(w.workers)) {
+		for t := range w.workers[n].runs {
+			if strings.HasPrefix(t, id+".") {
+				ws = append(ws, n)
+			}
+		}
+	}
+	return ws
+}
+
+func cores(n float64, gigabytes int) orchestrator.Resources {
+	return orchestrator.Resources{CPU: int(1000 * n), Memory: 1000 * gigabytes}
+}
+
+// simpleJob returns a job of one step.
+func simpleJob(id string, tasks int, size orchestrator.Resources) orchestrator.Job {
+	return orchestrator.Job{ID: id, Steps: []orchestrator.Step{{Count: tasks, Size: size, Estimate: time.Second}}}
+}
