--- a/internal/configurator/adopter.go
+++ b/internal/configurator/adopter.go
@@ -18,14 +18,14 @@
 	RefusedTooLarge       RefusalReason = "too large"
 )
 
-// RefusedError says why a record or a submission is refused.
+// RefusedError reports that a record or a submission is refused.
 type RefusedError struct {
-	Reason     RefusalReason
-	Generation uint64 // of the refused text, 0 if unknown
-	Seen       uint64 // highest generation known to the refuser
-	Key        string // name of the signing key
-	Invalid    *InvalidError
-	Detail     string
+	Reason            RefusalReason
+	Generation        uint64 // of the refused text, 0 if unknown
+	CurrentGeneration uint64 // generation adopted or in effect where the text was refused
+	Key               string // name of the signing key
+	Invalid           *InvalidError
+	Detail            string
 }
 
 func (e *RefusedError) Error() string {
@@ -42,7 +42,7 @@
 	return s
 }
 
-// Unwrap gives access to the list of faults.
+// Unwrap returns the list of faults of the text, nil if there is none.
 func (e *RefusedError) Unwrap() error {
 	if e.Invalid == nil {
 		return nil
@@ -50,8 +50,8 @@
 	return e.Invalid
 }
 
-// VerifyText checks signature and text, in this order, and returns the parsed text.
-// Its errors are of type *RefusedError.
+// VerifyText checks the signature and then the text, and returns the parsed
+// configuration. Its errors are of type *RefusedError.
 func VerifyText(text, signature []byte, key string, keys Keys) (*Configuration, error) {
 	if len(signature) == 0 || key == "" {
 		return nil, &RefusedError{Reason: RefusedUnsigned, Key: key, Detail: "signature and key name are required"}
@@ -84,7 +84,7 @@
 	record  Record
 }
 
-// NewAdopter returns an adopter that has seen no configuration.
+// NewAdopter returns an adopter that has adopted no configuration.
 func NewAdopter(keys Keys) *Adopter {
 	return &Adopter{keys: keys}
 }
@@ -108,9 +108,9 @@
 	return c, nil
 }
 
-// OfferAll adopts the highest valid generation among rs, the answers of all peers of
-// the failure domain when the store is unavailable at start. It returns nil and the
-// refusals if none is adopted. Invalid records of a higher generation are passed over.
+// OfferAll adopts the highest valid generation among rs and skips records that are not
+// valid. It returns nil and the refusals if none is adopted. Entry hosts use it for the
+// answers of their peers when the store is unavailable at start.
 func (a *Adopter) OfferAll(rs []Record) (*Configuration, error) {
 	var best *Configuration
 	var record Record
@@ -135,18 +135,18 @@
 
 func (a *Adopter) check(r Record) (*Configuration, error) {
 	if r.Generation <= a.record.Generation {
-		return nil, &RefusedError{Reason: RefusedStale, Generation: r.Generation, Seen: a.record.Generation, Key: r.Key,
+		return nil, &RefusedError{Reason: RefusedStale, Generation: r.Generation, CurrentGeneration: a.record.Generation, Key: r.Key,
 			Detail: fmt.Sprintf("generation %d is already adopted", a.record.Generation)}
 	}
 	c, err := VerifyText([]byte(r.Text), r.Signature, r.Key, a.keys)
 	var refused *RefusedError
 	if errors.As(err, &refused) {
-		refused.Generation, refused.Seen = r.Generation, a.record.Generation
+		refused.Generation, refused.CurrentGeneration = r.Generation, a.record.Generation
 		return nil, refused
 	}
 	if c.Generation != r.Generation {
-		// The record's generation is not signed; the text's is.
-		return nil, &RefusedError{Reason: RefusedInvalid, Generation: r.Generation, Seen: a.record.Generation, Key: r.Key,
+		// Only the generation in the text is covered by the signature.
+		return nil, &RefusedError{Reason: RefusedInvalid, Generation: r.Generation, CurrentGeneration: a.record.Generation, Key: r.Key,
 			Detail: fmt.Sprintf("record says generation %d, its signed text says %d", r.Generation, c.Generation)}
 	}
 	return c, nil
--- a/internal/configurator/adopter_test.go
+++ b/internal/configurator/adopter_test.go
@@ -15,14 +15,15 @@
 	return ed25519.NewKeyFromSeed([]byte(strings.Repeat(string(rune(seed)), ed25519.SeedSize)))
 }
 
+// record returns a valid configuration of the generation, signed with key.
 func record(t testing.TB, generation uint64, key ed25519.PrivateKey, name string) Record {
 	text := strings.NewReplacer("Generation = 7", fmt.Sprintf("Generation = %d", generation),
 		"Replaces = 6", fmt.Sprintf("Replaces = %d", generation-1)).Replace(readValid(t))
 	return Record{Generation: generation, Text: text, Signature: Sign([]byte(text), key), Key: name}
 }
 
-// Guards against adopting a text that no operator signed, an old one, or a broken one;
-// a refusal must change nothing.
+// Guards against adopting a text that no operator signed, an old generation, or an invalid
+// text. A refusal must leave the adopted configuration unchanged.
 func TestAdopter(t *testing.T) {
 	is := is.New(t)
 	ana, other := testKey('a'), testKey('b')
@@ -30,12 +31,12 @@
 	_, err := a.Offer(record(t, 5, ana, "ana"))
 	is.NoErr(err)
 
-	unsigned, altered, lying, broken := record(t, 6, ana, "ana"), record(t, 6, ana, "ana"), record(t, 6, ana, "ana"), record(t, 6, ana, "ana")
+	unsigned, altered, wrongGeneration, invalid := record(t, 6, ana, "ana"), record(t, 6, ana, "ana"), record(t, 6, ana, "ana"), record(t, 6, ana, "ana")
 	unsigned.Signature = nil
 	altered.Text += "# \n"
-	lying.Generation = 9 // the signed text says 6
-	broken.Text = "[Nothing]\n"
-	broken.Signature = Sign([]byte(broken.Text), ana)
+	wrongGeneration.Generation = 9 // the signed text says 6
+	invalid.Text = "[Nothing]\n"
+	invalid.Signature = Sign([]byte(invalid.Text), ana)
 	for _, c := range []struct {
 		r    Record
 		want RefusalReason
@@ -46,8 +47,8 @@
 		{altered, RefusedWrongSignature},
 		{record(t, 6, other, "ana"), RefusedWrongSignature},
 		{record(t, 6, other, "other"), RefusedUnknownKey},
-		{broken, RefusedInvalid},
-		{lying, RefusedInvalid},
+		{invalid, RefusedInvalid},
+		{wrongGeneration, RefusedInvalid},
 	} {
 		_, err := a.Offer(c.r)
 		var refused *RefusedError
@@ -60,8 +61,8 @@
 	is.Equal(c.Generation, uint64(6))
 }
 
-// Guards against taking an old generation, or one that cannot be verified, from peers
-// at a start without the store.
+// Guards against adopting an old generation, or one that cannot be verified, from the
+// answers of peers when an entry host starts while the store is unavailable.
 func TestAdopterOfferAll(t *testing.T) {
 	is := is.New(t)
 	ana, other := testKey('a'), testKey('b')
@@ -75,8 +76,8 @@
 }
 
 // Guards against key files that one command writes and another cannot read, and against
-// a truncated or foreign key being taken for a key.
-func TestPrivateKeyForms(t *testing.T) {
+// accepting a truncated, inconsistent or public key as a private key.
+func TestPrivateKeyFormats(t *testing.T) {
 	is := is.New(t)
 	key := testKey('a')
 	text, err := EncodePrivateKey(key)
--- a/internal/configurator/configuration.go
+++ b/internal/configurator/configuration.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Resources is an amount of a host's capacity.
+// Resources is an amount of cores, memory and accelerators.
 type Resources struct {
 	Cores        float64
 	Memory       int64 // bytes
@@ -22,7 +22,7 @@
 	return Resources{r.Cores - o.Cores, r.Memory - o.Memory, r.Accelerators - o.Accelerators}
 }
 
-// coreTolerance absorbs the rounding error of sums of fractional cores.
+// coreTolerance allows for the rounding error in sums of fractional cores.
 const coreTolerance = 1e-9
 
 // Fits reports whether r is at most o in every dimension.
@@ -80,13 +80,14 @@
 	RetryImmediate3 RetryPolicy = "Immediate3"
 )
 
-// Policy holds the settings of the decisions.
+// Policy selects the rules for routing, placement, admission and retries, and their time
+// limits.
 type Policy struct {
 	Routing           RoutingPolicy
 	Placement         PlacementPolicy
 	Limits            LimitPolicy
 	Retries           RetryPolicy
-	OwnershipTTL      time.Duration // INI key OwnershipTtl
+	OwnershipTTL      time.Duration // key OwnershipTtl in the INI text
 	JobRecoveryDelay  time.Duration
 	MaxRequestTimeout time.Duration
 }
@@ -98,9 +99,9 @@
 	DefaultMaxRequestTimeout = 30 * time.Second
 )
 
-// minJobRecoveryDelay is three times the silence after which the scheduler gives up on
-// a worker. It starts no batch task whose running tenure ends sooner than that silence,
-// so a delay of 5 s started none at all.
+// minJobRecoveryDelay is three times the time after which the scheduler treats a worker
+// that does not answer as lost (5 s). The scheduler starts no batch task if its ownership
+// lease for running tasks ends within that time, so with a delay of 5 s it never starts one.
 const minJobRecoveryDelay = 15 * time.Second
 
 // FailureDomain is a set of hosts that fail or are partitioned together.
@@ -142,14 +143,14 @@
 type JobClass struct {
 	Name        string
 	Urgent      bool
-	Size        Resources // declared size unless a job states its own
-	MaxAttempts int       // failed runs after which a job is given up
+	Size        Resources // size of a job that does not declare one
+	MaxAttempts int       // failed runs after which a job is not retried
 }
 
 // Team is a tenant with a quota of batch capacity and a share of request capacity.
 type Team struct {
 	Name  string
-	Quota Resources // upper bound of the sum over its placed batch tasks
+	Quota Resources // limit for the total size of its placed batch tasks
 	Share float64   // weight in fair queueing of requests, above 0
 }
 
@@ -157,7 +158,7 @@
 // by name.
 type Configuration struct {
 	Generation     uint64
-	Replaces       uint64
+	Replaces       uint64 // generation that must be in effect when this one is applied
 	Firm           string
 	Measures       Measures
 	Policy         Policy
--- a/internal/configurator/diff.go
+++ b/internal/configurator/diff.go
@@ -29,7 +29,7 @@
 	return fmt.Sprintf("~ [%s] %s = %s -> %s", c.Section, c.Key, c.Old, c.New)
 }
 
-// present marks the side of a Change that has the section.
+// present is the value of Change.Old or Change.New if that configuration has the section.
 const present = "present"
 
 // Changes returns the differences from a to b in the order of b's text, then the
@@ -52,19 +52,20 @@
 		if !ok {
 			cs = append(cs, Change{Section: s.Header(), New: present})
 		}
-		cs = appendKeys(cs, before, s)
+		cs = appendKeyChanges(cs, before, s)
 		delete(old, s.Header())
 	}
 	for _, s := range as {
-		if _, gone := old[s.Header()]; gone {
+		if _, removed := old[s.Header()]; removed {
 			cs = append(cs, Change{Section: s.Header(), Old: present})
-			cs = appendKeys(cs, s, Section{Kind: s.Kind, Name: s.Name})
+			cs = appendKeyChanges(cs, s, Section{Kind: s.Kind, Name: s.Name})
 		}
 	}
 	return cs
 }
 
-func appendKeys(cs []Change, a, b Section) []Change {
+// appendKeyChanges appends the changes of keys from section a to section b.
+func appendKeyChanges(cs []Change, a, b Section) []Change {
 	for _, e := range b.Entries {
 		if old := valueOf(a, e.Key); old != e.Value {
 			cs = append(cs, Change{b.Header(), e.Key, old, e.Value})
--- a/internal/configurator/doc.go
+++ b/internal/configurator/doc.go
@@ -1,5 +1,5 @@
-// Package configurator holds the operators' configuration: its types, its INI
-// format, validation, diff, signing, and the rule that decides which generation an
-// entry host adopts. It imports no other package of this project, so that every
-// package may use its types.
+// Package configurator defines the operators' configuration: its types, INI format,
+// validation, diff and signature, and the rule by which an entry host adopts a
+// generation. It imports no other package of this project, so that every package can
+// use its types.
 package configurator
--- a/internal/configurator/docs.go
+++ b/internal/configurator/docs.go
@@ -20,23 +20,23 @@
 	fmt.Fprintf(&b, "### `[%s]`\n\n%s (%s).\n\n", header, sentence(d.Meaning), presence)
 	b.WriteString("| key | meaning | unit | default | allowed |\n|---|---|---|---|---|\n")
 	for _, k := range d.Keys {
-		standard := k.Default
+		defaultText := k.Default
 		switch {
 		case k.Required:
-			standard = "required"
-		case standard == "":
-			standard = "none"
+			defaultText = "required"
+		case defaultText == "":
+			defaultText = "none"
 		}
 		unit := k.Unit
 		if unit == "" {
 			unit = "–"
 		}
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", k.Name, sentence(k.Meaning), unit, standard, k.Allowed)
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", k.Name, sentence(k.Meaning), unit, defaultText, k.Allowed)
 	}
 	return b.String()
 }
 
-// sentence begins s with a capital letter.
+// sentence returns s with its first letter in upper case.
 func sentence(s string) string {
 	if s == "" {
 		return s
--- a/internal/configurator/fault.go
+++ b/internal/configurator/fault.go
@@ -11,7 +11,7 @@
 	Section string // header without brackets, for example `Worker "sampaloc-1"`
 	Key     string // empty if the fault concerns the whole section
 	Problem string
-	Allowed string // what would be accepted instead; empty if Problem says so
+	Allowed string // what is accepted instead; empty if Problem makes it clear
 }
 
 func (f Fault) String() string {
--- a/internal/configurator/parse.go
+++ b/internal/configurator/parse.go
@@ -15,10 +15,10 @@
 	p.faults = append(p.faults, MissingSections(sections, p.docs)...)
 	p.faults = append(p.faults, policyTable.Read(Section{}, &p.c.Policy)...)
 	for _, s := range sections {
-		p.read(s)
+		p.readSection(s)
 	}
 	sortByName(p.c)
-	// References are checked even if single values are wrong, so that one run lists all.
+	// References are checked even if single values are faulty, so that one run lists all faults.
 	p.faults = append(p.faults, check(p.c, p.lines, p.faults)...)
 	if len(p.faults) > 0 {
 		return nil, &InvalidError{Faults: SortFaults(p.faults)}
@@ -26,7 +26,7 @@
 	return p.c, nil
 }
 
-// position names a key, or a section if key is empty.
+// position identifies a key, or a section if key is empty.
 type position struct{ kind, name, key string }
 
 type parser struct {
@@ -36,7 +36,7 @@
 	faults []Fault
 }
 
-func (p *parser) read(s Section) {
+func (p *parser) readSection(s Section) {
 	if f, unknown := UnknownSection(s, p.docs); unknown {
 		p.faults = append(p.faults, f)
 		return
@@ -68,6 +68,7 @@
 	}
 }
 
+// readNamed reads a section into v and appends v to list.
 func readNamed[T any](p *parser, t Table[T], s Section, list []T, v T) []T {
 	p.faults = append(p.faults, t.Read(s, &v)...)
 	return append(list, v)
@@ -103,8 +104,8 @@
 	}
 }
 
-// sectionsOf returns the configuration's sections in the order of Docs, those of one
-// kind by name.
+// sectionsOf returns the configuration's sections in the order of Docs. Sections of one
+// kind are sorted by name.
 func sectionsOf(c *Configuration) []Section {
 	d := *c
 	d.FailureDomains, d.EntryHosts, d.Workers = slices.Clone(c.FailureDomains), slices.Clone(c.EntryHosts), slices.Clone(c.Workers)
--- a/internal/configurator/parse_test.go
+++ b/internal/configurator/parse_test.go
@@ -25,8 +25,8 @@
 	return string(text)
 }
 
-// Guards against a printer and a parser that disagree: the operator would sign a text
-// that means something else than the reviewed values.
+// Guards against Print and Parse disagreeing on a value: the operator would sign a text
+// with other values than the reviewed ones.
 func TestPrintRoundTrip(t *testing.T) {
 	is := is.New(t)
 	c, err := Parse([]byte(readValid(t)))
@@ -37,7 +37,7 @@
 	is.Equal(c.Services[0].Instances, map[string]int{"Sampaloc": 2, "San Pablo": 1})
 }
 
-// Guards against random values that survive Print and Parse changed.
+// Guards against values that Print followed by Parse changes, with random values.
 func TestPrintRoundTripRandom(t *testing.T) {
 	valid, err := Parse([]byte(readValid(t)))
 	is.New(t).NoErr(err)
@@ -48,7 +48,7 @@
 		c.Measures.Latency = float64(rapid.IntRange(1, 1e6).Draw(t, "latency")) / 1000
 		c.Policy.JobRecoveryDelay = time.Duration(rapid.Int64Range(3e10, 36e11).Draw(t, "delay"))
 		c.Teams = []Team{{Name: rapid.StringMatching(`[A-Za-z0-9][a-z ._-]{0,9}[0-9]`).Draw(t, "team"), Share: 0.5,
-			Quota: Resources{1, rapid.Int64Range(0, maxMemory).Draw(t, "memory"), 0}}}
+			Quota: Resources{1, rapid.Int64Range(0, maxMemoryBytes).Draw(t, "memory"), 0}}}
 		got, err := Parse(Print(&c))
 		if err != nil {
 			t.Fatal(err)
@@ -59,7 +59,8 @@
 	})
 }
 
-// Guards against a fault that is passed over, reported at a wrong place, or hides another.
+// Guards against a fault that is not reported, is reported for the wrong line or key, or
+// hides another one.
 func TestParseFaults(t *testing.T) {
 	for _, c := range []struct{ name, old, new, want string }{
 		{"unknown section", `[Team "schools"]`, "[Guild \"schools\"]", `line 71: [Guild "schools"] unknown section; allowed: [Configuration], [Measures], [Policy], [FailureDomain "name"], [EntryHost "name"], [Worker "name"], [Service "name"], [JobClass "name"], [Team "name"]`},
@@ -111,8 +112,8 @@
 	}
 }
 
-// Guards against a parser that stops at the first fault: an operator would need one run
-// for each.
+// Guards against a parser that stops at the first fault, which would cost an operator one
+// run for each.
 func TestParseListsAllFaults(t *testing.T) {
 	is := is.New(t)
 	text := strings.NewReplacer("Limits = Fair", "Limits = None", "Share = 1.5", "Share = x", "San Pablo:1", "Malolos:1").Replace(readValid(t))
@@ -129,10 +130,10 @@
 // Guards against sizes that overflow or lose bytes.
 func TestSizes(t *testing.T) {
 	is := is.New(t)
-	for s, w := range map[string]int64{"125GB": 125e9, "512MB": 512e6, "1B": 1, "0B": 0, "9223372TB": 9223372e12} {
+	for s, want := range map[string]int64{"125GB": 125e9, "512MB": 512e6, "1B": 1, "0B": 0, "9223372TB": 9223372e12} {
 		got, err := ParseSize(s)
 		is.NoErr(err)
-		is.Equal(got, w)
+		is.Equal(got, want)
 	}
 	for _, s := range []string{"", "GB", "1", "-1GB", "1.5GB", "1 GB", "9223373TB", "1gb", "+1GB"} {
 		_, err := ParseSize(s)
--- a/internal/configurator/registry.go
+++ b/internal/configurator/registry.go
@@ -12,31 +12,32 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Bounds of values. They exclude slips such as a wrong unit rather than real systems.
+// Upper bounds of values. They are meant to catch mistakes such as a wrong unit, not to
+// exclude real systems.
 const (
 	maxCores             = 1024
-	maxMemory            = 64e12 // bytes
+	maxMemoryBytes       = 64e12
 	maxAccelerators      = 64
-	maxQuotaCores        = 1e6 // a quota spans workers
-	maxQuotaMemory       = 1e16
+	maxQuotaCores        = 1e6 // quotas are larger because they cover many workers
+	maxQuotaMemoryBytes  = 1e16
 	maxQuotaAccelerators = 100000
 	maxSlots             = 1024
 	maxConnections       = 65536
-	maxInstances         = 10000
-	maxShare             = 1000
-	maxWeight            = 1000
+	maxInstances         = 10000 // of one service in one failure domain
+	maxShare             = 1000  // of a team
+	maxWeight            = 1000  // of a measure
 	maxAttempts          = 100
 )
 
 // Bounds of the resources of one host or task, and of a team's quota.
 var (
-	leastOfOne = Resources{Cores: 0.001, Memory: 1e6}
-	mostOfOne  = Resources{Cores: maxCores, Memory: maxMemory, Accelerators: maxAccelerators}
-	mostOfTeam = Resources{Cores: maxQuotaCores, Memory: maxQuotaMemory, Accelerators: maxQuotaAccelerators}
+	minResources = Resources{Cores: 0.001, Memory: 1e6}
+	maxResources = Resources{Cores: maxCores, Memory: maxMemoryBytes, Accelerators: maxAccelerators}
+	maxQuota     = Resources{Cores: maxQuotaCores, Memory: maxQuotaMemoryBytes, Accelerators: maxQuotaAccelerators}
 )
 
-// Docs returns the documentation of every section, in the order in which they are
-// printed.
+// Docs returns the documentation of every kind of section, in the order in which Print
+// writes them.
 func Docs() []SectionDoc {
 	return []SectionDoc{
 		generationTable.Doc(), measuresTable.Doc(), policyTable.Doc(), failureDomainTable.Doc(), entryHostTable.Doc(),
@@ -88,7 +89,7 @@
 	},
 }
 
-const referenceAllowed = "name of a FailureDomain section"
+const failureDomainAllowed = "name of a FailureDomain section"
 
 var failureDomainTable = Table[FailureDomain]{
 	Kind: "FailureDomain", Named: true, Required: true, Meaning: "hosts that fail or are partitioned together",
@@ -103,7 +104,7 @@
 var entryHostTable = Table[EntryHost]{
 	Kind: "EntryHost", Named: true, Required: true, Meaning: "host that runs peridotpitch; each failure domain has at least one",
 	Keys: []Key[EntryHost]{
-		NameKey(KeyDoc{Name: "FailureDomain", Required: true, Allowed: referenceAllowed, Meaning: "failure domain of the host"},
+		NameKey(KeyDoc{Name: "FailureDomain", Required: true, Allowed: failureDomainAllowed, Meaning: "failure domain of the host"},
 			func(h *EntryHost) *string { return &h.FailureDomain }),
 		AddressKey(KeyDoc{Name: "Address", Required: true, Meaning: "address for messages between entry hosts"},
 			false, func(h *EntryHost) *netip.AddrPort { return &h.Address }),
@@ -113,7 +114,7 @@
 var workerTable = Table[Worker]{
 	Kind: "Worker", Named: true, Meaning: "host that runs tasks",
 	Keys: append([]Key[Worker]{
-		NameKey(KeyDoc{Name: "FailureDomain", Required: true, Allowed: referenceAllowed, Meaning: "failure domain of the host"},
+		NameKey(KeyDoc{Name: "FailureDomain", Required: true, Allowed: failureDomainAllowed, Meaning: "failure domain of the host"},
 			func(w *Worker) *string { return &w.FailureDomain }),
 		NameKey(KeyDoc{Name: "Rack", Required: true, Meaning: "rack, unique within the failure domain"},
 			func(w *Worker) *string { return &w.Rack }),
@@ -121,7 +122,7 @@
 			func(w *Worker) *string { return &w.Shard }),
 		AddressKey(KeyDoc{Name: "Address", Required: true, Meaning: "address of the worker's agent"},
 			false, func(w *Worker) *netip.AddrPort { return &w.Address }),
-	}, resourceKeys("capacity", leastOfOne, mostOfOne, func(w *Worker) *Resources { return &w.Capacity })...),
+	}, resourceKeys("capacity", minResources, maxResources, func(w *Worker) *Resources { return &w.Capacity })...),
 }
 
 var serviceTable = Table[Service]{
@@ -130,7 +131,7 @@
 		NameKey(KeyDoc{Name: "Class", Required: true, Meaning: "interference class of the instances"},
 			func(s *Service) *string { return &s.Class }),
 		instancesKey,
-	}, resourceKeys("size of one instance", leastOfOne, mostOfOne, func(s *Service) *Resources { return &s.Size }), []Key[Service]{
+	}, resourceKeys("size of one instance", minResources, maxResources, func(s *Service) *Resources { return &s.Size }), []Key[Service]{
 		IntegerKey(KeyDoc{Name: "Slots", Unit: "requests", Default: "8", Meaning: "requests that an instance runs at once; at least the number of entry hosts of each of its failure domains"},
 			1, maxSlots, func(s *Service) *int { return &s.Slots }),
 		IntegerKey(KeyDoc{Name: "Connections", Unit: "connections", Default: "64", Meaning: "connections that an instance accepts, at least Slots"},
@@ -145,7 +146,7 @@
 	Keys: slices.Concat([]Key[JobClass]{
 		BooleanKey(KeyDoc{Name: "Urgent", Default: "false", Meaning: "jobs start before others"},
 			func(j *JobClass) *bool { return &j.Urgent }),
-	}, resourceKeys("declared size unless a job states its own", leastOfOne, mostOfOne, func(j *JobClass) *Resources { return &j.Size }), []Key[JobClass]{
+	}, resourceKeys("declared size unless a job states its own", minResources, maxResources, func(j *JobClass) *Resources { return &j.Size }), []Key[JobClass]{
 		IntegerKey(KeyDoc{Name: "MaxAttempts", Unit: "runs", Default: "5", Meaning: "failed runs after which a job is given up"},
 			1, maxAttempts, func(j *JobClass) *int { return &j.MaxAttempts }),
 	}),
@@ -153,20 +154,20 @@
 
 var teamTable = Table[Team]{
 	Kind: "Team", Named: true, Meaning: "tenant",
-	Keys: append(resourceKeys("quota of placed batch tasks", Resources{}, mostOfTeam, func(t *Team) *Resources { return &t.Quota }),
+	Keys: append(resourceKeys("quota of placed batch tasks", Resources{}, maxQuota, func(t *Team) *Resources { return &t.Quota }),
 		NumberKey(KeyDoc{Name: "Share", Default: "1", Meaning: "weight in fair queueing of requests"},
 			0.001, maxShare, func(t *Team) *float64 { return &t.Share })),
 }
 
-// resourceKeys returns the keys of an amount of resources.
-func resourceKeys[T any](what string, lo, hi Resources, f func(*T) *Resources) []Key[T] {
+// resourceKeys returns the keys for an amount of resources from lo to hi.
+func resourceKeys[T any](meaning string, lo, hi Resources, field func(*T) *Resources) []Key[T] {
 	return []Key[T]{
-		NumberKey(KeyDoc{Name: "Cores", Unit: "cores", Required: true, Meaning: what},
-			lo.Cores, hi.Cores, func(t *T) *float64 { return &f(t).Cores }),
-		SizeKey(KeyDoc{Name: "Memory", Required: true, Meaning: what},
-			lo.Memory, hi.Memory, func(t *T) *int64 { return &f(t).Memory }),
-		IntegerKey(KeyDoc{Name: "Accelerators", Unit: "accelerators", Default: "0", Meaning: what},
-			lo.Accelerators, hi.Accelerators, func(t *T) *int { return &f(t).Accelerators }),
+		NumberKey(KeyDoc{Name: "Cores", Unit: "cores", Required: true, Meaning: meaning},
+			lo.Cores, hi.Cores, func(t *T) *float64 { return &field(t).Cores }),
+		SizeKey(KeyDoc{Name: "Memory", Required: true, Meaning: meaning},
+			lo.Memory, hi.Memory, func(t *T) *int64 { return &field(t).Memory }),
+		IntegerKey(KeyDoc{Name: "Accelerators", Unit: "accelerators", Default: "0", Meaning: meaning},
+			lo.Accelerators, hi.Accelerators, func(t *T) *int { return &field(t).Accelerators }),
 	}
 }
 
--- a/internal/configurator/signature.go
+++ b/internal/configurator/signature.go
@@ -21,7 +21,7 @@
 	return ed25519.Sign(key, text)
 }
 
-// Verify reports whether signature is the key's signature of the exact text.
+// Verify reports whether signature is a valid signature of the exact text under key.
 func Verify(text, signature []byte, key ed25519.PublicKey) bool {
 	return len(key) == ed25519.PublicKeySize && len(signature) == ed25519.SignatureSize &&
 		ed25519.Verify(key, text, signature)
@@ -75,7 +75,7 @@
 	return private, nil
 }
 
-// EncodePublicKey returns the key as one line of base64, the form of the settings file.
+// EncodePublicKey returns the key as one line of base64, as in the settings file.
 func EncodePublicKey(key ed25519.PublicKey) string {
 	return base64.StdEncoding.EncodeToString(key)
 }
--- a/internal/configurator/size.go
+++ b/internal/configurator/size.go
@@ -38,7 +38,7 @@
 	return 0, merry.Errorf("size %q is not a whole number with one of the units B, KB, MB, GB, TB", text)
 }
 
-// FormatSize returns bytes in the largest unit that loses nothing.
+// FormatSize returns bytes as a whole number of the largest unit that divides it.
 func FormatSize(bytes int64) string {
 	for _, u := range sizeUnits {
 		if bytes != 0 && bytes%u.bytes == 0 {
--- a/internal/configurator/table.go
+++ b/internal/configurator/table.go
@@ -12,18 +12,18 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Key describes one key of a section whose values are kept in a T: its documentation
-// and its conversion to and from text.
+// Key describes one key of a section whose values are stored in a T: its documentation
+// and its conversion from and to text.
 type Key[T any] struct {
 	Name     string
 	Unit     string
 	Default  string // used if the key is absent; empty: none
 	Required bool
-	Allowed  string
+	Allowed  string // accepted values, shown in faults
 	Meaning  string
-	// Set stores the text's value and says what is wrong with it.
+	// Set parses text and stores the value. Its error becomes the Problem of a Fault.
 	Set func(t *T, text string) error
-	// Get returns the value's text, empty if the key is to be left out.
+	// Get returns the value as text, empty if the key is omitted.
 	Get func(t *T) string
 }
 
@@ -105,8 +105,8 @@
 	return strings.Join(names, ", ")
 }
 
-// UnknownSection returns the fault of a section whose header fits none of the kinds,
-// and false if it fits one.
+// UnknownSection returns a fault and true if the section's header matches none of the
+// documented kinds.
 func UnknownSection(s Section, docs []SectionDoc) (Fault, bool) {
 	var headers []string
 	for _, d := range docs {
@@ -137,35 +137,35 @@
 	return faults
 }
 
-// SortFaults orders faults by line and bounds their number.
+// SortFaults sorts faults by line. Beyond maxListedFaults it returns only their number.
 func SortFaults(fs []Fault) []Fault {
 	slices.SortStableFunc(fs, func(a, b Fault) int { return a.Line - b.Line })
-	if len(fs) > maxFaults {
-		more := Fault{Problem: fmt.Sprintf("%d more faults", len(fs)-maxFaults)}
-		fs = append(fs[:maxFaults:maxFaults], more)
+	if len(fs) > maxListedFaults {
+		more := Fault{Problem: fmt.Sprintf("%d more faults", len(fs)-maxListedFaults)}
+		fs = append(fs[:maxListedFaults:maxListedFaults], more)
 	}
 	return fs
 }
 
-// newKey returns a key whose value is kept in the field that f returns.
-func newKey[T, V any](d KeyDoc, f func(*T) *V, parse func(string) (V, error), format func(V) string) Key[T] {
+// newKey returns a key whose value is stored in the field that field returns.
+func newKey[T, V any](d KeyDoc, field func(*T) *V, parse func(string) (V, error), format func(V) string) Key[T] {
 	return Key[T]{
 		Name: d.Name, Unit: d.Unit, Default: d.Default, Required: d.Required, Allowed: d.Allowed, Meaning: d.Meaning,
 		Set: func(t *T, text string) error {
 			v, err := parse(text)
 			if err == nil {
-				*f(t) = v
+				*field(t) = v
 			}
 			return err
 		},
-		Get: func(t *T) string { return format(*f(t)) },
+		Get: func(t *T) string { return format(*field(t)) },
 	}
 }
 
 // IntegerKey returns a key for a whole number between lo and hi.
-func IntegerKey[T any, V int | uint64](d KeyDoc, lo, hi V, f func(*T) *V) Key[T] {
+func IntegerKey[T any, V int | uint64](d KeyDoc, lo, hi V, field func(*T) *V) Key[T] {
 	d.Allowed = fmt.Sprintf("whole number from %d to %d", lo, hi)
-	return newKey(d, f, func(text string) (V, error) {
+	return newKey(d, field, func(text string) (V, error) {
 		u, err := strconv.ParseUint(text, 10, 63)
 		if v := V(u); err == nil && v >= lo && v <= hi {
 			return v, nil
@@ -174,13 +174,14 @@
 	}, func(v V) string { return fmt.Sprint(v) })
 }
 
-// numberPattern keeps numbers readable and excludes exponents, signs, NaN and Inf.
+// numberPattern accepts short decimal numbers, which are easy to read, and excludes
+// exponents, signs, NaN and Inf.
 var numberPattern = regexp.MustCompile(`^[0-9]{1,9}(\.[0-9]{1,3})?$`)
 
 // NumberKey returns a key for a decimal number from lo to hi with at most three decimals.
-func NumberKey[T any](d KeyDoc, lo, hi float64, f func(*T) *float64) Key[T] {
+func NumberKey[T any](d KeyDoc, lo, hi float64, field func(*T) *float64) Key[T] {
 	d.Allowed = fmt.Sprintf("number from %s to %s with at most 3 decimals", formatNumber(lo), formatNumber(hi))
-	return newKey(d, f, func(text string) (float64, error) {
+	return newKey(d, field, func(text string) (float64, error) {
 		v, err := strconv.ParseFloat(text, 64)
 		if err == nil && numberPattern.MatchString(text) && v >= lo && v <= hi {
 			return v, nil
@@ -192,9 +193,9 @@
 func formatNumber(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
 
 // DurationKey returns a key for a duration from lo to hi.
-func DurationKey[T any](d KeyDoc, lo, hi time.Duration, f func(*T) *time.Duration) Key[T] {
+func DurationKey[T any](d KeyDoc, lo, hi time.Duration, field func(*T) *time.Duration) Key[T] {
 	d.Allowed = fmt.Sprintf("Go duration from %s to %s", formatDuration(lo), formatDuration(hi))
-	return newKey(d, f, func(text string) (time.Duration, error) {
+	return newKey(d, field, func(text string) (time.Duration, error) {
 		v, err := time.ParseDuration(text)
 		if err == nil && v >= lo && v <= hi {
 			return v, nil
@@ -203,7 +204,7 @@
 	}, formatDuration)
 }
 
-// formatDuration drops the zero parts that time.Duration prints: "1m" for "1m0s".
+// formatDuration omits the trailing zero units that time.Duration prints: "1m" for "1m0s".
 func formatDuration(d time.Duration) string {
 	s := d.String()
 	if strings.HasSuffix(s, "m0s") {
@@ -216,10 +217,10 @@
 }
 
 // SizeKey returns a key for an amount of memory from lo to hi bytes.
-func SizeKey[T any](d KeyDoc, lo, hi int64, f func(*T) *int64) Key[T] {
+func SizeKey[T any](d KeyDoc, lo, hi int64, field func(*T) *int64) Key[T] {
 	d.Unit = "B, KB, MB, GB or TB (powers of 1000)"
 	d.Allowed = fmt.Sprintf("whole number with unit from %s to %s", FormatSize(lo), FormatSize(hi))
-	return newKey(d, f, func(text string) (int64, error) {
+	return newKey(d, field, func(text string) (int64, error) {
 		v, err := ParseSize(text)
 		if err == nil && v >= lo && v <= hi {
 			return v, nil
@@ -229,13 +230,13 @@
 }
 
 // EnumKey returns a key for one of the values.
-func EnumKey[T any, V ~string](d KeyDoc, f func(*T) *V, values ...V) Key[T] {
+func EnumKey[T any, V ~string](d KeyDoc, field func(*T) *V, values ...V) Key[T] {
 	texts := make([]string, len(values))
 	for i, v := range values {
 		texts[i] = string(v)
 	}
 	d.Allowed = strings.Join(texts, ", ")
-	return newKey(d, f, func(text string) (V, error) {
+	return newKey(d, field, func(text string) (V, error) {
 		if slices.Contains(values, V(text)) {
 			return V(text), nil
 		}
@@ -244,9 +245,9 @@
 }
 
 // BooleanKey returns a key for true or false.
-func BooleanKey[T any](d KeyDoc, f func(*T) *bool) Key[T] {
+func BooleanKey[T any](d KeyDoc, field func(*T) *bool) Key[T] {
 	d.Allowed = "true, false"
-	return newKey(d, f, func(text string) (bool, error) {
+	return newKey(d, field, func(text string) (bool, error) {
 		if text != "true" && text != "false" {
 			return false, notAccepted(text)
 		}
@@ -255,12 +256,12 @@
 }
 
 // NameKey returns a key for a name.
-func NameKey[T any](d KeyDoc, f func(*T) *string) Key[T] {
+func NameKey[T any](d KeyDoc, field func(*T) *string) Key[T] {
 	if d.Allowed == "" {
 		d.Allowed = nameAllowed
 	}
-	return newKey(d, f, func(text string) (string, error) {
-		if len(text) > maxNameLength || !namePattern.MatchString(text) {
+	return newKey(d, field, func(text string) (string, error) {
+		if len(text) > maxNameBytes || !namePattern.MatchString(text) {
 			return "", notAccepted(text)
 		}
 		return text, nil
@@ -269,9 +270,9 @@
 
 // AddressKey returns a key for an IP address and port. The unspecified address
 // (0.0.0.0 or ::) is accepted only for listening.
-func AddressKey[T any](d KeyDoc, listen bool, f func(*T) *netip.AddrPort) Key[T] {
+func AddressKey[T any](d KeyDoc, listen bool, field func(*T) *netip.AddrPort) Key[T] {
 	d.Allowed = "IP address and port, for example 10.1.0.5:7000"
-	return newKey(d, f, func(text string) (netip.AddrPort, error) {
+	return newKey(d, field, func(text string) (netip.AddrPort, error) {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil || a.Port() == 0 || a.Addr().Zone() != "" || a.Addr().IsUnspecified() && !listen {
 			return netip.AddrPort{}, notAccepted(text)
--- a/internal/configurator/text.go
+++ b/internal/configurator/text.go
@@ -10,15 +10,15 @@
 	"gopkg.in/ini.v1"
 )
 
-// MaxTextSize is the largest accepted text, in bytes. Encoded as JSON within a Record it
-// stays under the store's limit of 1 MB for a value.
+// MaxTextSize is the maximum size of a text in bytes. A Record with such a text, encoded as
+// JSON, stays below the store's limit of 1 MB for a value.
 const MaxTextSize = 640 << 10
 
-// maxNameLength bounds the names of sections, in bytes.
-const maxNameLength = 64
+// maxNameBytes is the maximum length of a name, also of one that a key holds.
+const maxNameBytes = 64
 
-// maxFaults bounds the list of faults of one text.
-const maxFaults = 200
+// maxListedFaults is the maximum number of faults that are listed for one text.
+const maxListedFaults = 200
 
 var (
 	headerPattern = regexp.MustCompile(`^\[([A-Z][A-Za-z]*)(?: "([^"\]]*)")?\]$`)
@@ -29,9 +29,9 @@
 // nameAllowed describes namePattern.
 const nameAllowed = "letters, digits, space, '.', '_' and '-', beginning and ending with a letter or digit, at most 64 bytes"
 
-// forbiddenInValue are characters that INI readers treat in different ways. Without
-// them every reader sees the same value, so the text that an operator reviews and signs
-// has one meaning.
+// forbiddenInValue holds characters that INI parsers interpret in different ways. Without
+// them every parser reads the same value, so the text that an operator reviews and signs
+// is unambiguous.
 const forbiddenInValue = "\"'`\\#;"
 
 // Entry is one key of a section.
@@ -58,7 +58,7 @@
 }
 
 // ReadSections splits a text in the project's INI format into sections. It reports
-// lines that are neither a header, a key, a comment nor blank, and duplicates.
+// malformed lines and duplicate sections and keys.
 func ReadSections(text []byte) ([]Section, []Fault) {
 	if len(text) > MaxTextSize {
 		return nil, []Fault{{Problem: fmt.Sprintf("text has %d bytes", len(text)), Allowed: fmt.Sprintf("at most %d bytes", MaxTextSize)}}
@@ -66,10 +66,10 @@
 	r := reader{sections: map[string]int{}}
 	for i, l := range strings.Split(string(text), "\n") {
 		r.line = i + 1
-		r.read(l)
+		r.readLine(l)
 	}
 	if len(r.faults) == 0 {
-		r.resolve(text)
+		r.verifyWithLibrary(text)
 	}
 	return r.result, r.faults
 }
@@ -79,58 +79,58 @@
 	result   []Section
 	sections map[string]int // header to line
 	keys     map[string]int // key of the current section to line
-	skip     bool           // the current section's header is faulty: its keys are not read
+	skipKeys bool           // the current section's header is faulty, so its keys are skipped
 	faults   []Fault
 }
 
-func (r *reader) fault(f Fault) {
+func (r *reader) addFault(f Fault) {
 	f.Line = r.line
 	r.faults = append(r.faults, f)
 }
 
-func (r *reader) read(l string) {
+func (r *reader) readLine(l string) {
 	if !utf8.ValidString(l) {
-		r.fault(Fault{Problem: "line is not UTF-8"})
+		r.addFault(Fault{Problem: "line is not UTF-8"})
 		return
 	}
 	if i := strings.IndexFunc(l, func(c rune) bool { return c != '\t' && !unicode.IsPrint(c) }); i >= 0 {
-		r.fault(Fault{Problem: fmt.Sprintf("line has the character %q", []rune(l[i:])[0]), Allowed: "printable characters and lines that end in LF"})
+		r.addFault(Fault{Problem: fmt.Sprintf("line has the character %q", []rune(l[i:])[0]), Allowed: "printable characters and lines that end in LF"})
 		return
 	}
 	l = strings.Trim(l, " \t")
 	switch {
 	case l == "" || l[0] == '#' || l[0] == ';':
 	case l[0] == '[':
-		r.header(l)
+		r.readHeader(l)
 	default:
-		r.key(l)
+		r.readKey(l)
 	}
 }
 
-func (r *reader) header(l string) {
-	r.skip = true
+func (r *reader) readHeader(l string) {
+	r.skipKeys = true
 	m := headerPattern.FindStringSubmatch(l)
 	if m == nil {
-		r.fault(Fault{Problem: fmt.Sprintf("header %s is malformed", l), Allowed: `[Kind] or [Kind "name"]`})
+		r.addFault(Fault{Problem: fmt.Sprintf("header %s is malformed", l), Allowed: `[Kind] or [Kind "name"]`})
 		return
 	}
 	s := Section{Kind: m[1], Name: m[2], Line: r.line}
-	if strings.Contains(l, `"`) && (len(s.Name) > maxNameLength || !namePattern.MatchString(s.Name)) {
-		r.fault(Fault{Section: s.Header(), Problem: fmt.Sprintf("name %q is malformed", s.Name), Allowed: nameAllowed})
+	if strings.Contains(l, `"`) && (len(s.Name) > maxNameBytes || !namePattern.MatchString(s.Name)) {
+		r.addFault(Fault{Section: s.Header(), Problem: fmt.Sprintf("name %q is malformed", s.Name), Allowed: nameAllowed})
 		return
 	}
 	if first, ok := r.sections[s.Header()]; ok {
-		r.fault(Fault{Section: s.Header(), Problem: fmt.Sprintf("section is a duplicate of line %d", first), Allowed: "one section of this kind and name"})
+		r.addFault(Fault{Section: s.Header(), Problem: fmt.Sprintf("section is a duplicate of line %d", first), Allowed: "one section of this kind and name"})
 		return
 	}
-	r.skip = false
+	r.skipKeys = false
 	r.sections[s.Header()] = r.line
 	r.keys = map[string]int{}
 	r.result = append(r.result, s)
 }
 
-func (r *reader) key(l string) {
-	if r.skip {
+func (r *reader) readKey(l string) {
+	if r.skipKeys {
 		return
 	}
 	var header string
@@ -141,15 +141,15 @@
 	key, value = strings.Trim(key, " \t"), strings.Trim(value, " \t")
 	switch {
 	case !found:
-		r.fault(Fault{Section: header, Problem: fmt.Sprintf("line %q has no =", l), Allowed: "Key = value"})
+		r.addFault(Fault{Section: header, Problem: fmt.Sprintf("line %q has no =", l), Allowed: "Key = value"})
 	case !keyPattern.MatchString(key):
-		r.fault(Fault{Section: header, Key: key, Problem: "key is not in Pascal case", Allowed: "letters and digits, beginning with a capital letter"})
+		r.addFault(Fault{Section: header, Key: key, Problem: "key is not in Pascal case", Allowed: "letters and digits, beginning with a capital letter"})
 	case header == "":
-		r.fault(Fault{Key: key, Problem: "key stands before the first section", Allowed: "keys within a section"})
+		r.addFault(Fault{Key: key, Problem: "key stands before the first section", Allowed: "keys within a section"})
 	case r.keys[key] > 0:
-		r.fault(Fault{Section: header, Key: key, Problem: fmt.Sprintf("key is a duplicate of line %d", r.keys[key]), Allowed: "one value for each key"})
+		r.addFault(Fault{Section: header, Key: key, Problem: fmt.Sprintf("key is a duplicate of line %d", r.keys[key]), Allowed: "one value for each key"})
 	case strings.ContainsAny(value, forbiddenInValue):
-		r.fault(Fault{Section: header, Key: key, Problem: fmt.Sprintf("value %s has a quote, backslash, # or ;", value), Allowed: "plain values; comments on lines of their own"})
+		r.addFault(Fault{Section: header, Key: key, Problem: fmt.Sprintf("value %s has a quote, backslash, # or ;", value), Allowed: "plain values; comments on lines of their own"})
 	default:
 		r.keys[key] = r.line
 		s := &r.result[len(r.result)-1]
@@ -157,9 +157,10 @@
 	}
 }
 
-// resolve takes the values from the INI library, which knows no line numbers, and
-// refuses a text that the library reads differently.
-func (r *reader) resolve(text []byte) {
+// verifyWithLibrary parses the text with the INI library too, takes the values from there,
+// and reports a fault where the library reads something else. The library alone is not
+// enough because it gives no line numbers.
+func (r *reader) verifyWithLibrary(text []byte) {
 	f, err := ini.LoadSources(ini.LoadOptions{
 		IgnoreContinuation:    true,
 		KeyValueDelimiters:    "=",
@@ -167,21 +168,21 @@
 	}, text)
 	r.line = 0
 	if err != nil {
-		r.fault(Fault{Problem: err.Error()})
+		r.addFault(Fault{Problem: err.Error()})
 		return
 	}
 	for i, s := range r.result {
 		section, err := f.GetSection(s.Header())
 		if err != nil || len(section.Keys()) != len(s.Entries) {
 			r.line = s.Line
-			r.fault(Fault{Section: s.Header(), Problem: "section is ambiguous"})
+			r.addFault(Fault{Section: s.Header(), Problem: "section is ambiguous"})
 			continue
 		}
 		for j, e := range s.Entries {
 			value := section.Key(e.Key).Value()
 			if value != e.Value {
 				r.line = e.Line
-				r.fault(Fault{Section: s.Header(), Key: e.Key, Problem: fmt.Sprintf("value is ambiguous: %q or %q", e.Value, value)})
+				r.addFault(Fault{Section: s.Header(), Key: e.Key, Problem: fmt.Sprintf("value is ambiguous: %q or %q", e.Value, value)})
 			}
 			r.result[i].Entries[j].Value = value
 		}
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -167,7 +167,7 @@
 		detail += fmt.Sprintf(", applied by %s (key %q)", b.record.AppliedBy, b.record.Key)
 	}
 	return false, &configurator.RefusedError{Reason: configurator.RefusedStale, Generation: c.Generation,
-		Seen: b.record.Generation, Key: s.Key, Detail: detail}
+		CurrentGeneration: b.record.Generation, Key: s.Key, Detail: detail}
 }
 
 // write is one compare-and-swap of CurrentKey.
