--- a/internal/publisher/fake_test.go
+++ b/internal/publisher/fake_test.go
@@ -16,7 +16,7 @@
 	"peridotpitch/internal/storer"
 )
 
-// fakeStore is a store in memory whose faults the tests switch.
+// fakeStore is an in-memory store with faults that the tests turn on and off.
 type fakeStore struct {
 	storer.Store // nil: Hosts is never called
 
@@ -25,28 +25,30 @@
 	entries  map[string]storer.Entry
 	changed  chan struct{} // closed and replaced at each change
 
-	down       bool
-	missEvents bool                     // watches end without events
-	loseAnswer func(key string) lostWay // consulted for each compare-and-swap
-	delay      func() time.Duration
-	gets       int
+	unavailable bool
+	dropEvents  bool                        // watches end without events
+	loseAnswer  func(key string) answerLoss // called for each compare-and-swap; empty: the answer arrives
+	delay       func() time.Duration
+	gets        int
 }
 
-type lostWay string
+// answerLoss says whether and when a compare-and-swap takes effect although its answer is
+// lost.
+type answerLoss string
 
 const (
-	lostAfterEffect  lostWay = "after the effect"
-	lostBeforeEffect lostWay = "before the effect"
-	lostLate         lostWay = "effect one second later"
+	lostAfterWrite      answerLoss = "after the write"
+	lostWithoutWrite    answerLoss = "without the write"
+	lostBeforeLateWrite answerLoss = "one second before the write"
 )
 
 func newFakeStore() *fakeStore {
 	return &fakeStore{entries: map[string]storer.Entry{}, changed: make(chan struct{}),
-		loseAnswer: func(string) lostWay { return "" }, delay: func() time.Duration { return time.Millisecond }}
+		loseAnswer: func(string) answerLoss { return "" }, delay: func() time.Duration { return time.Millisecond }}
 }
 
-// enter waits for the delay and returns an error if the store is down.
-func (s *fakeStore) enter(ctx context.Context) error {
+// beginCall waits for the delay and returns an error if the store is unavailable.
+func (s *fakeStore) beginCall(ctx context.Context) error {
 	s.mu.Lock()
 	d := s.delay()
 	s.mu.Unlock()
@@ -55,14 +57,14 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.down {
-		return &storer.UnavailableError{Reason: "down"}
+	if s.unavailable {
+		return &storer.UnavailableError{Reason: "turned off by the test"}
 	}
 	return nil
 }
 
 func (s *fakeStore) Get(ctx context.Context, key string) (storer.Entry, error) {
-	if err := s.enter(ctx); err != nil {
+	if err := s.beginCall(ctx); err != nil {
 		return storer.Entry{}, err
 	}
 	s.mu.Lock()
@@ -74,7 +76,7 @@
 }
 
 func (s *fakeStore) List(ctx context.Context, prefix string) ([]storer.Entry, uint64, error) {
-	if err := s.enter(ctx); err != nil {
+	if err := s.beginCall(ctx); err != nil {
 		return nil, 0, err
 	}
 	s.mu.Lock()
@@ -89,16 +91,16 @@
 }
 
 func (s *fakeStore) CompareAndSwap(ctx context.Context, key string, expect uint64, value []byte) (bool, uint64, error) {
-	if err := s.enter(ctx); err != nil {
+	if err := s.beginCall(ctx); err != nil {
 		return false, 0, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch s.loseAnswer(key) {
-	case lostAfterEffect:
+	case lostAfterWrite:
 		s.swap(key, expect, value)
-	case lostBeforeEffect:
-	case lostLate:
+	case lostWithoutWrite:
+	case lostBeforeLateWrite:
 		time.AfterFunc(time.Second, func() { s.mu.Lock(); defer s.mu.Unlock(); s.swap(key, expect, value) })
 	default:
 		return s.swap(key, expect, value), s.entries[key].Revision, nil
@@ -118,7 +120,7 @@
 }
 
 func (s *fakeStore) Delete(ctx context.Context, key string, expect uint64) (bool, error) {
-	if err := s.enter(ctx); err != nil {
+	if err := s.beginCall(ctx); err != nil {
 		return false, err
 	}
 	s.mu.Lock()
@@ -131,7 +133,7 @@
 }
 
 func (s *fakeStore) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (storer.Events, error) {
-	if err := s.enter(ctx); err != nil {
+	if err := s.beginCall(ctx); err != nil {
 		return storer.Events{}, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
@@ -140,7 +142,7 @@
 		s.mu.Lock()
 		events := storer.Events{StoreRevision: s.revision}
 		for k, e := range s.entries {
-			if strings.HasPrefix(k, prefix) && e.Revision > after && !s.missEvents {
+			if strings.HasPrefix(k, prefix) && e.Revision > after && !s.dropEvents {
 				events.Events = append(events.Events, e)
 			}
 		}
@@ -169,7 +171,7 @@
 	keys = configurator.Keys{"ana": ana.Public().(ed25519.PublicKey), "ben": ben.Public().(ed25519.PublicKey)}
 )
 
-// submission returns a signed text whose firm is the given name.
+// submission returns a signed submission with the given name as its firm and operator.
 func submission(generation uint64, firm string) Submission {
 	text := configurator.Print(&configurator.Configuration{Generation: generation, Replaces: generation - 1, Firm: firm,
 		Measures: configurator.Measures{Latency: 1},
@@ -180,16 +182,17 @@
 	return Submission{Text: string(text), Signature: configurator.Sign(text, ana), Key: "ana", Replaces: generation - 1, AppliedBy: firm}
 }
 
+// record returns the record of submission(generation, firm).
 func record(generation uint64, firm string) configurator.Record {
 	s := submission(generation, firm)
 	return configurator.Record{Generation: generation, Text: s.Text, Signature: s.Signature, Key: s.Key, AppliedBy: firm}
 }
 
-// fakePeer answers with record, or fails first.
+// fakePeer fails the given number of calls and then answers with record.
 type fakePeer struct {
 	mu       sync.Mutex
 	record   configurator.Record
-	failures int // calls that fail first
+	failures int
 	delay    time.Duration
 }
 
@@ -203,7 +206,7 @@
 	return p.record, nil
 }
 
-// host is a running follower that keeps what it adopted.
+// host is a running follower that collects the adopted generations and the log.
 type host struct {
 	*Follower
 	mu      sync.Mutex
@@ -211,7 +214,7 @@
 	log     strings.Builder
 }
 
-// Write keeps a log line.
+// Write stores a log line.
 func (h *host) Write(line []byte) (int, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/publisher/follower.go
+++ b/internal/publisher/follower.go
@@ -17,27 +17,32 @@
 	"peridotpitch/internal/storer"
 )
 
-// Periods of the follower. The sum of one read's timeout, the longest pause and another
-// read's timeout is at most 5 s, so that a configuration is in effect within 7 s on
-// each host that reaches the store.
+// Intervals of the store calls. One read's timeout, the longest delay and another read's
+// timeout add up to at most 5 s, so that a configuration takes effect within 7 s on each
+// host that reaches the store.
 const (
-	readPeriod  = 2 * time.Second        // between reads that do not depend on watches
-	retryPause  = time.Second            // after a failed call
-	retryJitter = time.Second            // added at random, so that hosts do not return together after an outage
-	watchWait   = 20 * time.Second       // longest wait of a watch at the store
-	watchSlack  = 2 * time.Second        // added for the answer's way
-	watchPause  = 200 * time.Millisecond // after a watch that ended without an event
+	pollInterval = 2 * time.Second // between periodic reads
+	retryDelay   = time.Second     // after a failed call
+	// maxRetryJitter is the upper bound of a random addition to retryDelay. It keeps the
+	// hosts from reading at the same moment after an outage.
+	maxRetryJitter = time.Second
+	maxWatchWait   = 20 * time.Second // time after which the store ends a watch without events
+	// watchAnswerMargin is added to maxWatchWait to get the timeout of the call, so that the
+	// answer has time to arrive.
+	watchAnswerMargin = 2 * time.Second
+	watchDelay        = 200 * time.Millisecond // after a list, and after a watch without events
 )
 
-// startPatience is how long a host that starts without the store waits for peers that
-// do not answer before it takes the highest generation among the answers it has.
-const startPatience = 3 * time.Second
+// startPeerTimeout is how long a host that starts while the store is unavailable waits
+// for peers that do not answer. After it, the host adopts the highest valid generation
+// among the answers received.
+const startPeerTimeout = 3 * time.Second
 
-// fetchPause is how long a peer is not asked again after it sent a refused record.
-const fetchPause = 5 * time.Second
+// refusedFetchDelay is the delay before the next fetch from a peer whose record was refused.
+const refusedFetchDelay = 5 * time.Second
 
-// maxFetches bounds the concurrent fetches, which are up to 1 MB each.
-const maxFetches = 4
+// maxConcurrentFetches limits memory use: a fetched record has up to 1 MB.
+const maxConcurrentFetches = 4
 
 // Fetcher fetches a peer's configuration. messenger.Peer implements it. A peer without
 // a configuration answers with a zero Record.
@@ -52,96 +57,96 @@
 	Fetcher           Fetcher
 }
 
-// FollowerOptions are the surroundings of a Follower.
+// FollowerOptions holds the dependencies of a Follower.
 type FollowerOptions struct {
 	Store storer.Store
 	Keys  configurator.Keys
-	// Peers returns the known other entry hosts, from the settings file and the
-	// configuration. It is called without locks held.
+	// Peers returns the other entry hosts that the settings file and the configuration
+	// list. It is called without locks held.
 	Peers func() []Peer
 	// Adopted is called with each adopted configuration, one call at a time, in
 	// increasing order of generation. Current already returns the configuration.
 	Adopted func(configurator.Record, *configurator.Configuration)
 	Log     *slog.Logger
-	Random  *rand.Rand // used by the follower alone
+	Random  *rand.Rand // must not be shared: it is not safe for concurrent use
 }
 
 // Follower keeps this entry host's configuration up to date. It is safe for concurrent
 // use.
 type Follower struct {
-	options FollowerOptions
-	wake    chan struct{} // signals that wanted has grown
-
-	order   sync.Mutex // serializes adoptions and the callback
-	adopter *configurator.Adopter
-	seen    []byte          // last value of the store
-	logged  map[string]bool // refusals by source, so that each is logged once
-
-	state  sync.Mutex
-	record configurator.Record
-	parsed *configurator.Configuration
-	wanted map[string]uint64    // peer to the higher generation in its heartbeat
-	paused map[string]time.Time // peer to when it may be asked again
-	random *rand.Rand
+	options     FollowerOptions
+	fetchSignal chan struct{} // signals a new entry in announced
+
+	adoptionMu     sync.Mutex // serializes adoptions and the callback
+	adopter        *configurator.Adopter
+	lastStoreValue []byte          // last value of CurrentKey that was adopted or stale
+	loggedRefusals map[string]bool // source and hash of the content of each logged refusal
+
+	stateMu     sync.Mutex
+	record      configurator.Record
+	parsed      *configurator.Configuration
+	announced   map[string]uint64    // by peer, the generation in its heartbeat if higher than the adopted one
+	nextFetchAt map[string]time.Time // by peer, the earliest time of the next fetch
+	random      *rand.Rand
 }
 
 // NewFollower returns a follower that has adopted nothing. Run starts it.
 func NewFollower(o FollowerOptions) *Follower {
-	return &Follower{options: o, wake: make(chan struct{}, 1), adopter: configurator.NewAdopter(o.Keys),
-		logged: map[string]bool{}, wanted: map[string]uint64{}, paused: map[string]time.Time{}, random: o.Random}
+	return &Follower{options: o, fetchSignal: make(chan struct{}, 1), adopter: configurator.NewAdopter(o.Keys),
+		loggedRefusals: map[string]bool{}, announced: map[string]uint64{}, nextFetchAt: map[string]time.Time{}, random: o.Random}
 }
 
-// Run follows the configuration until ctx ends. It returns nil then.
+// Run follows the configuration until ctx ends and then returns nil.
 func (f *Follower) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { f.read(ctx); return nil })
-	g.Go(func() error { f.watch(ctx); return nil })
-	g.Go(func() error { f.fetch(ctx); return nil })
+	g.Go(func() error { f.pollStore(ctx); return nil })
+	g.Go(func() error { f.watchStore(ctx); return nil })
+	g.Go(func() error { f.fetchFromPeers(ctx); return nil })
 	return g.Wait()
 }
 
 // Current returns the adopted record and configuration, nil before the first adoption.
 // The caller must not change them.
 func (f *Follower) Current() (configurator.Record, *configurator.Configuration) {
-	f.state.Lock()
-	defer f.state.Unlock()
+	f.stateMu.Lock()
+	defer f.stateMu.Unlock()
 	return f.record, f.parsed
 }
 
-// Seen tells the follower that a heartbeat from the named peer carries generation. It
-// does not block.
+// Seen records the generation in a heartbeat from the named peer, and starts a fetch if
+// it is higher than the adopted one. It does not block.
 func (f *Follower) Seen(peer string, generation uint64) {
-	f.state.Lock()
+	f.stateMu.Lock()
 	higher := generation > f.record.Generation
 	if higher {
-		f.wanted[peer] = generation
+		f.announced[peer] = generation
 	}
-	// Before the first adoption a single peer's generation may be an old one: the start
-	// then compares the answers of several peers.
+	// Before the first adoption a single peer may offer an outdated generation, so
+	// adoptFromPeers compares the answers of several peers instead.
 	starting := f.parsed == nil
-	f.state.Unlock()
+	f.stateMu.Unlock()
 	if !higher || starting {
 		return
 	}
 	select {
-	case f.wake <- struct{}{}:
+	case f.fetchSignal <- struct{}{}:
 	default:
 	}
 }
 
-// read reads the store periodically, because a watch may miss events.
-func (f *Follower) read(ctx context.Context) {
+// pollStore reads the store periodically, because a watch may miss events.
+func (f *Follower) pollStore(ctx context.Context) {
 	started := time.Now()
 	available := true
 	for ctx.Err() == nil {
-		err := f.readOnce(ctx)
+		err := f.pollOnce(ctx)
 		available = f.logAvailability(available, err)
 		if _, c := f.Current(); c == nil && err != nil {
-			f.askPeers(ctx, time.Since(started) >= startPatience)
+			f.adoptFromPeers(ctx, time.Since(started) >= startPeerTimeout)
 		}
-		pause := readPeriod
+		pause := pollInterval
 		if err != nil {
-			pause = f.jittered(retryPause)
+			pause = f.addJitter(retryDelay)
 		}
 		if sleep(ctx, pause) != nil {
 			return
@@ -149,46 +154,47 @@
 	}
 }
 
-// logAvailability logs the begin and the end of a store outage and returns whether the
+// logAvailability logs the start and the end of a store outage and returns whether the
 // store is available.
-func (f *Follower) logAvailability(before bool, err error) bool {
+func (f *Follower) logAvailability(wasAvailable bool, err error) bool {
 	var corrupt *CorruptError
 	var refused *configurator.RefusedError
-	now := err == nil || errors.As(err, &corrupt) || errors.As(err, &refused)
-	if before && !now {
+	available := err == nil || errors.As(err, &corrupt) || errors.As(err, &refused)
+	if wasAvailable && !available {
 		f.options.Log.Warn("store unavailable, configuration is followed through peers", "Error", err)
-	} else if !before && now {
+	} else if !wasAvailable && available {
 		f.options.Log.Info("store available")
 	}
-	return now
+	return available
 }
 
-// readOnce returns an error if the store gave no usable record.
-func (f *Follower) readOnce(ctx context.Context) error {
+// pollOnce reads the store once. It returns an error if the call fails or the record is
+// refused for another reason than staleness.
+func (f *Follower) pollOnce(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	e, err := f.options.Store.Get(ctx, CurrentKey)
 	if err != nil {
 		return err
 	}
-	return f.offerEntry(e)
+	return f.adoptEntry(e)
 }
 
-func (f *Follower) jittered(d time.Duration) time.Duration {
-	f.state.Lock()
-	defer f.state.Unlock()
-	return d + time.Duration(f.random.Int64N(int64(retryJitter)))
+func (f *Follower) addJitter(d time.Duration) time.Duration {
+	f.stateMu.Lock()
+	defer f.stateMu.Unlock()
+	return d + time.Duration(f.random.Int64N(int64(maxRetryJitter)))
 }
 
-// watch learns of changes at once.
-func (f *Follower) watch(ctx context.Context) {
+// watchStore adopts changes as soon as the store reports them.
+func (f *Follower) watchStore(ctx context.Context) {
 	var after uint64
 	listed := false
 	for ctx.Err() == nil {
 		revision, pause, err := f.watchOnce(ctx, after, listed)
 		if err != nil {
-			// The position stays: after an outage the events since then arrive first.
-			pause = f.jittered(retryPause)
+			// after is unchanged, so the next watch returns the events since the failed one.
+			pause = f.addJitter(retryDelay)
 		} else {
 			listed, after = revision != 0, max(after, revision)
 		}
@@ -198,55 +204,55 @@
 	}
 }
 
-// watchOnce lists if nothing is listed yet, else watches. It returns the revision to
-// continue from, 0 to list again.
+// watchOnce watches for changes after the given revision, or lists if listed is false. It
+// returns the revision to continue from, 0 to list again, and the delay before the next call.
 func (f *Follower) watchOnce(ctx context.Context, after uint64, listed bool) (uint64, time.Duration, error) {
 	if !listed {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		entries, revision, err := f.options.Store.List(ctx, CurrentKey)
-		f.offerEntries(entries)
-		return revision, watchPause, err
+		f.adoptEntries(entries)
+		return revision, watchDelay, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, watchWait+watchSlack)
+	ctx, cancel := context.WithTimeout(ctx, maxWatchWait+watchAnswerMargin)
 	defer cancel()
-	events, err := f.options.Store.Watch(ctx, CurrentKey, after, watchWait)
+	events, err := f.options.Store.Watch(ctx, CurrentKey, after, maxWatchWait)
 	if err != nil || events.Compacted {
-		return 0, watchPause, err
+		return 0, watchDelay, err
 	}
-	f.offerEntries(events.Events)
+	f.adoptEntries(events.Events)
 	if len(events.Events) == 0 {
-		// Bounds the calls to a store that answers a watch at once.
-		return max(after, events.StoreRevision), watchPause, nil
+		// The delay limits the rate of calls to a store that answers a watch at once.
+		return max(after, events.StoreRevision), watchDelay, nil
 	}
 	return max(after, events.StoreRevision), 0, nil
 }
 
-func (f *Follower) offerEntries(es []storer.Entry) {
+func (f *Follower) adoptEntries(es []storer.Entry) {
 	for _, e := range es {
 		if e.Key == CurrentKey && !e.Deleted {
-			_ = f.offerEntry(e) // logged there
+			_ = f.adoptEntry(e) // adoptEntry logs the error
 		}
 	}
 }
 
-// offerEntry adopts the store's value if it is a newer record. It returns an error if
-// the value is refused other than for being known or older.
-func (f *Follower) offerEntry(e storer.Entry) error {
+// adoptEntry adopts the store's value if it is a newer record. It returns an error if
+// the value is refused for another reason than that its generation is not higher.
+func (f *Follower) adoptEntry(e storer.Entry) error {
 	if e.Revision == 0 {
 		return nil
 	}
-	f.order.Lock()
-	defer f.order.Unlock()
-	if bytes.Equal(f.seen, e.Value) && f.adopter.Generation() > 0 {
+	f.adoptionMu.Lock()
+	defer f.adoptionMu.Unlock()
+	if bytes.Equal(f.lastStoreValue, e.Value) && f.adopter.Generation() > 0 {
 		return nil
 	}
-	r, err := decode(e)
+	r, err := decodeRecord(e)
 	if err == nil {
 		err = f.adopt(r, "store")
 	}
-	if err == nil || stale(err) {
-		f.seen = e.Value
+	if err == nil || isStale(err) {
+		f.lastStoreValue = e.Value
 		if r.Generation < f.adopter.Generation() {
 			f.logOnce("store holds an older configuration", "store", string(e.Value), r.Generation, err)
 		}
@@ -256,66 +262,67 @@
 	return err
 }
 
-// adopt offers r and calls the callback. order is held.
+// adopt offers r to the adopter and installs it if accepted. adoptionMu is held.
 func (f *Follower) adopt(r configurator.Record, source string) error {
 	c, err := f.adopter.Offer(r)
 	if err != nil {
 		return err
 	}
-	f.adopted(r, c, source)
+	f.install(r, c, source)
 	return nil
 }
 
-func (f *Follower) adopted(r configurator.Record, c *configurator.Configuration, source string) {
-	f.state.Lock()
+// install makes the adopted record current and calls the callback. adoptionMu is held.
+func (f *Follower) install(r configurator.Record, c *configurator.Configuration, source string) {
+	f.stateMu.Lock()
 	f.record, f.parsed = r, c
-	f.state.Unlock()
+	f.stateMu.Unlock()
 	f.options.Log.Info("configuration adopted", "Generation", r.Generation, "Source", source,
 		"AppliedBy", r.AppliedBy, "Key", r.Key)
 	f.options.Adopted(r, c)
 }
 
-func stale(err error) bool {
+func isStale(err error) bool {
 	var refused *configurator.RefusedError
 	return errors.As(err, &refused) && refused.Reason == configurator.RefusedStale
 }
 
-// maxLogged bounds the memory of refusals that were logged.
-const maxLogged = 100
+// maxLoggedRefusals bounds the size of Follower.loggedRefusals.
+const maxLoggedRefusals = 100
 
-// logOnce logs a refusal once for each source and content. order is held.
+// logOnce logs a refusal once for each source and content. adoptionMu is held.
 func (f *Follower) logOnce(message, source, content string, generation uint64, err error) {
 	id := fmt.Sprintf("%s %x", source, xxhash.Sum64String(content))
-	if f.logged[id] {
+	if f.loggedRefusals[id] {
 		return
 	}
-	if len(f.logged) >= maxLogged {
-		clear(f.logged)
+	if len(f.loggedRefusals) >= maxLoggedRefusals {
+		clear(f.loggedRefusals)
 	}
-	f.logged[id] = true
+	f.loggedRefusals[id] = true
 	f.options.Log.Warn(message, "Source", source, "Generation", generation, "InEffect", f.adopter.Generation(), "Error", err)
 }
 
-// askPeers asks all peers of the failure domain, and those whose heartbeats carry a
-// generation. It adopts the highest valid generation if all of the failure domain
-// answered and no heartbeat carried a higher one, or when patience has ended.
-func (f *Follower) askPeers(ctx context.Context, patienceEnded bool) {
-	wanted := f.takeWanted()
+// adoptFromPeers fetches from all peers of the failure domain and from those whose
+// heartbeats announced a generation. It adopts the highest valid generation if all peers
+// of the failure domain answered and none announced a higher one, or if timedOut is set.
+func (f *Follower) adoptFromPeers(ctx context.Context, timedOut bool) {
+	announced := f.takeAnnounced()
 	var peers []Peer
-	var announced uint64
+	var highestAnnounced uint64
 	for _, p := range f.options.Peers() {
-		if g := wanted[p.Name]; p.SameFailureDomain || g > 0 {
+		if g := announced[p.Name]; p.SameFailureDomain || g > 0 {
 			peers = append(peers, p)
-			announced = max(announced, g)
+			highestAnnounced = max(highestAnnounced, g)
 		}
 	}
-	records, missing := f.fetchAll(ctx, peers)
-	f.order.Lock()
-	defer f.order.Unlock()
+	records, incomplete := f.fetchAll(ctx, peers)
+	f.adoptionMu.Lock()
+	defer f.adoptionMu.Unlock()
 	if f.adopter.Generation() > 0 {
-		return // the watch was faster
+		return // the watch has adopted one in the meantime
 	}
-	if !patienceEnded && (missing || highest(records) < announced) {
+	if !timedOut && (incomplete || highestGeneration(records) < highestAnnounced) {
 		return
 	}
 	c, err := f.adopter.OfferAll(records)
@@ -326,10 +333,10 @@
 		return
 	}
 	r, _ := f.adopter.Current()
-	f.adopted(r, c, "peers at start")
+	f.install(r, c, "peers at start")
 }
 
-func highest(rs []configurator.Record) uint64 {
+func highestGeneration(rs []configurator.Record) uint64 {
 	var g uint64
 	for _, r := range rs {
 		g = max(g, r.Generation)
@@ -337,8 +344,8 @@
 	return g
 }
 
-// fetchAll returns the records of the peers, and whether one of the failure domain did
-// not answer.
+// fetchAll returns the records of the peers that answered, and whether a peer of the
+// failure domain did not answer.
 func (f *Follower) fetchAll(ctx context.Context, peers []Peer) ([]configurator.Record, bool) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -354,71 +361,73 @@
 	}
 	_ = g.Wait() // the functions return no error
 	var records []configurator.Record
-	missing := false
+	incomplete := false
 	for i, p := range peers {
 		if answered[i] && answers[i].Generation > 0 {
 			records = append(records, answers[i])
 		}
-		missing = missing || p.SameFailureDomain && !answered[i]
+		incomplete = incomplete || p.SameFailureDomain && !answered[i]
 	}
-	return records, missing
+	return records, incomplete
 }
 
-// fetch fetches from peers whose heartbeat carries a higher generation.
-func (f *Follower) fetch(ctx context.Context) {
+// fetchFromPeers fetches from peers whose heartbeat announced a higher generation than
+// the adopted one.
+func (f *Follower) fetchFromPeers(ctx context.Context) {
 	var g errgroup.Group
-	g.SetLimit(maxFetches)
+	g.SetLimit(maxConcurrentFetches)
 	for {
 		select {
 		case <-ctx.Done():
 			_ = g.Wait() // the functions return no error
 			return
-		case <-f.wake:
+		case <-f.fetchSignal:
 		}
-		wanted := f.takeWanted()
+		announced := f.takeAnnounced()
 		for _, p := range f.options.Peers() {
-			if f.claim(p.Name, wanted[p.Name], time.Now()) {
+			if f.reserveFetch(p.Name, announced[p.Name], time.Now()) {
 				g.Go(func() error { f.fetchOnce(ctx, p); return nil })
 			}
 		}
 	}
 }
 
-// takeWanted returns the generations by peer since the last call.
-func (f *Follower) takeWanted() map[string]uint64 {
-	f.state.Lock()
-	defer f.state.Unlock()
-	wanted := f.wanted
-	f.wanted = map[string]uint64{}
-	return wanted
+// takeAnnounced returns the generations announced since the last call, by peer.
+func (f *Follower) takeAnnounced() map[string]uint64 {
+	f.stateMu.Lock()
+	defer f.stateMu.Unlock()
+	announced := f.announced
+	f.announced = map[string]uint64{}
+	return announced
 }
 
-// claim reports whether the peer has a higher generation and may be asked now, and
-// keeps it from being asked again for one timeout.
-func (f *Follower) claim(peer string, generation uint64, now time.Time) bool {
-	f.state.Lock()
-	defer f.state.Unlock()
-	if generation <= f.record.Generation || now.Before(f.paused[peer]) {
+// reserveFetch reports whether the generation is higher than the adopted one and the peer
+// may be asked now. If so, it delays the next fetch from this peer by callTimeout.
+func (f *Follower) reserveFetch(peer string, generation uint64, now time.Time) bool {
+	f.stateMu.Lock()
+	defer f.stateMu.Unlock()
+	if generation <= f.record.Generation || now.Before(f.nextFetchAt[peer]) {
 		return false
 	}
-	f.paused[peer] = now.Add(callTimeout)
+	f.nextFetchAt[peer] = now.Add(callTimeout)
 	return true
 }
 
+// fetchOnce fetches from p and adopts the record if it is newer.
 func (f *Follower) fetchOnce(ctx context.Context, p Peer) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	r, err := p.Fetcher.FetchConfiguration(ctx)
 	pause := time.Duration(0)
 	if err == nil {
-		f.order.Lock()
-		if err = f.adopt(r, p.Name); err != nil && !stale(err) {
+		f.adoptionMu.Lock()
+		if err = f.adopt(r, p.Name); err != nil && !isStale(err) {
 			f.logOnce("configuration refused", p.Name, r.Text, r.Generation, err)
-			pause = fetchPause
+			pause = refusedFetchDelay
 		}
-		f.order.Unlock()
+		f.adoptionMu.Unlock()
 	}
-	f.state.Lock()
-	f.paused[p.Name] = time.Now().Add(pause)
-	f.state.Unlock()
+	f.stateMu.Lock()
+	f.nextFetchAt[p.Name] = time.Now().Add(pause)
+	f.stateMu.Unlock()
 }
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -16,31 +16,31 @@
 // HistoryLimit is the number of history records that are kept.
 const HistoryLimit = 500
 
-// HistoryTexts is the number of newest records that History returns with their text.
-// All texts together can exceed 100 MB.
-const HistoryTexts = 20
+// HistoryRecordsWithText is the number of newest records that History returns with their
+// text. The texts of all records together can exceed 100 MB.
+const HistoryRecordsWithText = 20
 
-// pruneWindow is the number of generations beyond HistoryLimit that each application
-// looks at, so that records which one application failed to delete go with a later one.
-const pruneWindow = 10
+// pruneGenerations is the number of generations beyond HistoryLimit whose records each
+// application tries to delete, so that a later one deletes what an earlier one could not.
+const pruneGenerations = 10
 
-// resolveAttempts bounds the attempts to learn the outcome of a lost answer, which
-// start resolveDelay apart. Together they last about as long as an operator's request.
+// Attempts to determine whether a write whose answer was lost took effect. Together they
+// last about as long as an operator's request.
 const (
-	resolveAttempts = 6
-	resolveDelay    = 500 * time.Millisecond
+	maxResolveAttempts = 6
+	resolveDelay       = 500 * time.Millisecond // before each attempt
 )
 
-// Submission is what an operator applies.
+// Submission is a signed configuration text that an operator applies.
 type Submission struct {
 	Text      string
 	Signature []byte
 	Key       string // name of the signing key
-	Replaces  uint64 // generation that the operator reviewed the change against
-	AppliedBy string // operator, as shown to others
+	Replaces  uint64 // generation that the operator compared the text with
+	AppliedBy string // operator, as shown to other operators
 }
 
-// Applied says that a submission is in effect.
+// Applied is the result of a submission that is in effect.
 type Applied struct {
 	Record configurator.Record
 	// AlreadyInEffect is set if the same signed text had been applied before.
@@ -49,11 +49,11 @@
 	Diff string
 }
 
-// LostRaceError says that another submission of the same generation took effect first.
+// LostRaceError reports that another submission of the same generation took effect first.
 type LostRaceError struct {
 	Generation uint64 // in effect
 	AppliedBy  string
-	Key        string // that signed the text in effect
+	Key        string // name of the key that signed the text in effect
 	AppliedAt  time.Time
 	Diff       string // from the refused submission to the configuration in effect
 }
@@ -63,7 +63,7 @@
 		e.Generation, e.AppliedBy, e.Key, e.AppliedAt.UTC().Format(time.RFC3339))
 }
 
-// UnknownError says that the submission may or may not have taken effect.
+// UnknownError reports that the submission may or may not have taken effect.
 type UnknownError struct {
 	Generation uint64
 	Cause      error
@@ -77,8 +77,8 @@
 // Unwrap returns the cause.
 func (e *UnknownError) Unwrap() error { return e.Cause }
 
-// NotAppliedError says that the submission did not take effect because the store could
-// not be used.
+// NotAppliedError reports that the submission did not take effect because a call to
+// the store failed or the store holds a value that is not a valid record.
 type NotAppliedError struct{ Cause error }
 
 func (e *NotAppliedError) Error() string {
@@ -104,7 +104,7 @@
 }
 
 // Apply makes s the configuration in effect. Its errors are *configurator.RefusedError,
-// *LostRaceError and *NotAppliedError, after which nothing has changed, and
+// *LostRaceError and *NotAppliedError, which leave the configuration unchanged, and
 // *UnknownError.
 func (p *Publisher) Apply(ctx context.Context, s Submission) (Applied, error) {
 	c, err := configurator.VerifyText([]byte(s.Text), s.Signature, s.Key, p.keys)
@@ -119,7 +119,7 @@
 	if err != nil {
 		return Applied{}, &NotAppliedError{err}
 	}
-	if done, err := compare(before, s, c); err != nil {
+	if done, err := checkReplaces(before, s, c); err != nil {
 		return Applied{}, err
 	} else if done {
 		return Applied{Record: before.record, AlreadyInEffect: true}, nil
@@ -128,31 +128,33 @@
 	if err != nil {
 		return Applied{}, err
 	}
-	// The replaced record goes into the history first. A missing history record of an
-	// older generation therefore proves that it was never in effect, also if its writer
-	// died right after the swap.
-	if err := p.remember(ctx, before.record.Generation, before.value); err != nil {
+	// The replaced record is written to the history first. A generation older than the
+	// current one without a history record was therefore never in effect, even if its
+	// writer crashed right after the swap.
+	if err := p.writeHistory(ctx, before.record.Generation, before.value); err != nil {
 		return Applied{}, &NotAppliedError{err}
 	}
-	var already *alreadyInEffect
+	var already *alreadyInEffectError
 	if err := p.swap(ctx, w); errors.As(err, &already) {
 		return Applied{Record: already.record, AlreadyInEffect: true}, nil
 	} else if err != nil {
 		return Applied{}, err
 	}
-	// Failures here are repaired by the next application.
-	_ = p.remember(ctx, w.record.Generation, w.value)
+	// If these calls fail, the next application repeats them.
+	_ = p.writeHistory(ctx, w.record.Generation, w.value)
 	p.prune(ctx, w.record.Generation)
 	return Applied{Record: w.record, Diff: configurator.Diff(before.parsed, c)}, nil
 }
 
-// alreadyInEffect says that another host applied the same signed text meanwhile.
-type alreadyInEffect struct{ record configurator.Record }
+// alreadyInEffectError reports that another host applied the same signed text in the
+// meantime.
+type alreadyInEffectError struct{ record configurator.Record }
 
-func (*alreadyInEffect) Error() string { return "the same text is already in effect" }
+func (*alreadyInEffectError) Error() string { return "the same text is already in effect" }
 
-// compare reports whether s is already in effect, or why it may not replace b.
-func compare(b current, s Submission, c *configurator.Configuration) (bool, error) {
+// checkReplaces reports whether s is already in effect. It returns an error if s may not
+// replace b.
+func checkReplaces(b current, s Submission, c *configurator.Configuration) (bool, error) {
 	switch {
 	case b.record.Text == s.Text && bytes.Equal(b.record.Signature, s.Signature):
 		return true, nil
@@ -170,66 +172,67 @@
 		CurrentGeneration: b.record.Generation, Key: s.Key, Detail: detail}
 }
 
-// write is one compare-and-swap of CurrentKey.
-type write struct {
+// swapWrite is one compare-and-swap of CurrentKey.
+type swapWrite struct {
 	record     configurator.Record
 	value      []byte
-	expect     uint64
+	expect     uint64 // revision that the swap replaces
 	submission Submission
 	parsed     *configurator.Configuration
 }
 
-func (p *Publisher) newWrite(b current, s Submission, c *configurator.Configuration) (write, error) {
+func (p *Publisher) newWrite(b current, s Submission, c *configurator.Configuration) (swapWrite, error) {
 	r := configurator.Record{Generation: c.Generation, Text: s.Text, Signature: s.Signature, Key: s.Key,
 		AppliedBy: s.AppliedBy, AppliedAt: p.now().UTC(), Writer: p.writer, Sequence: p.sequence.Add(1)}
 	value, err := json.Marshal(r)
 	if err != nil {
-		return write{}, err
+		return swapWrite{}, err
 	}
 	if len(value) > storer.MaxValueSize {
-		return write{}, &configurator.RefusedError{Reason: configurator.RefusedTooLarge, Generation: c.Generation, Key: s.Key,
+		return swapWrite{}, &configurator.RefusedError{Reason: configurator.RefusedTooLarge, Generation: c.Generation, Key: s.Key,
 			Detail: fmt.Sprintf("the record has %d bytes, the store holds at most %d", len(value), storer.MaxValueSize)}
 	}
-	return write{r, value, b.revision, s, c}, nil
+	return swapWrite{r, value, b.revision, s, c}, nil
 }
 
-// swap writes w once, or finds out what became of it.
-func (p *Publisher) swap(ctx context.Context, w write) error {
+// swap writes w. If the answer is lost, it determines whether the write took effect.
+func (p *Publisher) swap(ctx context.Context, w swapWrite) error {
 	swapped, err := p.compareAndSwap(ctx, CurrentKey, w.expect, w.value)
 	switch {
 	case err == nil && swapped:
 		return nil
 	case err == nil:
-		return p.lost(ctx, w)
+		return p.swapRefused(ctx, w)
 	case !mayHaveWritten(err):
 		return &NotAppliedError{err}
 	}
-	return p.resolve(ctx, w, err)
+	return p.resolveOutcome(ctx, w, err)
 }
 
-// lost says which record took effect instead of w.
-func (p *Publisher) lost(ctx context.Context, w write) error {
+// swapRefused returns an error that describes the record that took effect instead of w.
+func (p *Publisher) swapRefused(ctx context.Context, w swapWrite) error {
 	b, err := readCurrent(ctx, p.store, p.keys)
 	if err != nil {
 		return &NotAppliedError{err}
 	}
-	done, err := compare(b, w.submission, w.parsed)
+	done, err := checkReplaces(b, w.submission, w.parsed)
 	if done {
-		return &alreadyInEffect{b.record}
+		return &alreadyInEffectError{b.record}
 	}
 	if err == nil {
-		// Only an outside change of the store leaves the generation at a new revision.
+		// The generation is unchanged at a new revision. Only a writer other than an entry
+		// host causes this.
 		err = &NotAppliedError{&CorruptError{Key: CurrentKey, Revision: b.revision, Cause: errors.New("value was rewritten meanwhile")}}
 	}
 	return err
 }
 
-// resolve reads back until it knows whether w, whose answer was lost, took effect.
-// While the revision is unchanged, w may still be on its way; then the same swap is
-// sent again, which is safe because both expect the same revision and at most one of
+// resolveOutcome reads the store until it can tell whether w, whose answer was lost, took
+// effect. While the revision is unchanged, w may still reach the store. The same swap is
+// then sent again, which is safe because both expect the same revision and at most one of
 // them takes effect.
-func (p *Publisher) resolve(ctx context.Context, w write, cause error) error {
-	for range resolveAttempts {
+func (p *Publisher) resolveOutcome(ctx context.Context, w swapWrite, cause error) error {
+	for range maxResolveAttempts {
 		if err := sleep(ctx, resolveDelay); err != nil {
 			break
 		}
@@ -253,18 +256,19 @@
 				return nil
 			}
 			if err == nil {
-				return p.lost(ctx, w)
+				return p.swapRefused(ctx, w)
 			}
 			cause = err
 		default:
-			return p.lost(ctx, w)
+			return p.swapRefused(ctx, w)
 		}
 	}
 	return &UnknownError{Generation: w.record.Generation, Cause: cause}
 }
 
-func (p *Publisher) inHistory(ctx context.Context, w write) (bool, error) {
-	r, err := p.history(ctx, w.record.Generation)
+// inHistory reports whether the history holds w.
+func (p *Publisher) inHistory(ctx context.Context, w swapWrite) (bool, error) {
+	r, err := p.readHistory(ctx, w.record.Generation)
 	return r.Writer == w.record.Writer && r.Sequence == w.record.Sequence, err
 }
 
@@ -283,9 +287,9 @@
 	return !errors.As(err, &unavailable) && !errors.As(err, &limited) && !errors.As(err, &large)
 }
 
-// remember writes a history record unless it exists. A lost answer needs no read-back:
-// every writer of this key writes the same value.
-func (p *Publisher) remember(ctx context.Context, generation uint64, value []byte) error {
+// writeHistory writes a history record unless it exists. If the answer is lost, the write
+// is repeated without a read, because every writer of this key writes the same value.
+func (p *Publisher) writeHistory(ctx context.Context, generation uint64, value []byte) error {
 	if generation == 0 {
 		return nil
 	}
@@ -296,9 +300,9 @@
 	return err
 }
 
-// prune deletes the history records that are beyond HistoryLimit.
+// prune deletes history records beyond HistoryLimit. It stops at the first failed read.
 func (p *Publisher) prune(ctx context.Context, generation uint64) {
-	for i := range uint64(pruneWindow) {
+	for i := range uint64(pruneGenerations) {
 		if generation <= HistoryLimit+i {
 			return
 		}
@@ -326,7 +330,7 @@
 		rs = append(rs, b.record)
 	}
 	for g := b.record.Generation; g > 1 && len(rs) < min(limit, HistoryLimit); g-- {
-		r, err := p.history(ctx, g-1)
+		r, err := p.readHistory(ctx, g-1)
 		var corrupt *CorruptError
 		if errors.As(err, &corrupt) {
 			continue
@@ -337,7 +341,7 @@
 		if r.Generation == 0 {
 			break
 		}
-		if len(rs) >= HistoryTexts {
+		if len(rs) >= HistoryRecordsWithText {
 			r.Text, r.Signature = "", nil
 		}
 		rs = append(rs, r)
@@ -345,13 +349,13 @@
 	return rs, nil
 }
 
-// history returns a record with Generation 0 if there is none.
-func (p *Publisher) history(ctx context.Context, generation uint64) (configurator.Record, error) {
+// readHistory returns the history record of a generation, a zero Record if there is none.
+func (p *Publisher) readHistory(ctx context.Context, generation uint64) (configurator.Record, error) {
 	e, err := p.get(ctx, historyKey(generation))
 	if err != nil || e.Revision == 0 {
 		return configurator.Record{}, err
 	}
-	return decode(e)
+	return decodeRecord(e)
 }
 
 func (p *Publisher) get(ctx context.Context, key string) (storer.Entry, error) {
--- a/internal/publisher/publisher_test.go
+++ b/internal/publisher/publisher_test.go
@@ -18,7 +18,7 @@
 	"peridotpitch/internal/configurator"
 )
 
-// Guards against a submission that is refused for the wrong reason or leaves a trace.
+// Guards against a refused submission that reports the wrong reason or writes to the store.
 func TestApplyRefusals(t *testing.T) {
 	simulate(t, func(ctx context.Context, is *is.I) {
 		s := newFakeStore()
@@ -28,11 +28,11 @@
 		is.Equal(first.Record.Generation, uint64(1))
 		revision := s.revision
 
-		unsigned, altered, unknown, foreign, invalid, mismatch := submission(2, "x"), submission(2, "x"), submission(2, "x"), submission(2, "x"), submission(2, "x"), submission(2, "x")
+		unsigned, altered, unknown, otherKey, invalid, mismatch := submission(2, "x"), submission(2, "x"), submission(2, "x"), submission(2, "x"), submission(2, "x"), submission(2, "x")
 		unsigned.Signature = nil
 		altered.Text = strings.Replace(altered.Text, "Firm = x", "Firm = y", 1)
 		unknown.Key = "eve"
-		foreign.Key = "ben" // signed by ana
+		otherKey.Key = "ben" // signed by ana
 		invalid.Text = strings.Replace(invalid.Text, "Region", "Place", 1)
 		invalid.Signature = configurator.Sign([]byte(invalid.Text), ana)
 		mismatch.Replaces = 7
@@ -43,7 +43,7 @@
 			{unsigned, configurator.RefusedUnsigned},
 			{altered, configurator.RefusedWrongSignature},
 			{unknown, configurator.RefusedUnknownKey},
-			{foreign, configurator.RefusedWrongSignature},
+			{otherKey, configurator.RefusedWrongSignature},
 			{invalid, configurator.RefusedInvalid},
 			{mismatch, configurator.RefusedStale},
 			{submission(3, "ahead"), configurator.RefusedStale},
@@ -57,15 +57,15 @@
 		again, err := p.Apply(ctx, submission(1, "first"))
 		is.NoErr(err)
 		is.True(again.AlreadyInEffect)
-		s.set(func(s *fakeStore) { s.down = true })
+		s.set(func(s *fakeStore) { s.unavailable = true })
 		_, err = p.Apply(ctx, submission(2, "second"))
 		var unchanged *NotAppliedError
 		is.True(errors.As(err, &unchanged))
 	})
 }
 
-// Guards against two winners of a race, and a loser who does not learn who won with
-// which text.
+// Guards against two concurrent submissions of one generation that both succeed, and
+// against an error that does not name the operator and the text that took effect.
 func TestApplyRace(t *testing.T) {
 	simulate(t, func(ctx context.Context, is *is.I) {
 		s := newFakeStore()
@@ -85,15 +85,15 @@
 	})
 }
 
-// Guards against a lost answer that is taken for a failure or a success without looking,
-// also if the write takes effect late or was already replaced.
+// Guards against reporting a write whose answer was lost as failed or successful without
+// reading it back, also if the write takes effect late or was already replaced.
 func TestApplyLostAnswer(t *testing.T) {
-	for _, w := range []lostWay{lostAfterEffect, lostBeforeEffect, lostLate} {
+	for _, w := range []answerLoss{lostAfterWrite, lostWithoutWrite, lostBeforeLateWrite} {
 		t.Run(string(w), func(t *testing.T) {
 			simulate(t, func(ctx context.Context, is *is.I) {
 				s := newFakeStore()
 				lose := true
-				s.loseAnswer = func(key string) lostWay {
+				s.loseAnswer = func(key string) answerLoss {
 					if key != CurrentKey || !lose {
 						return ""
 					}
@@ -115,22 +115,22 @@
 		simulate(t, func(ctx context.Context, is *is.I) {
 			s := newFakeStore()
 			other := NewPublisher(s, keys, "other", time.Now)
-			s.loseAnswer = func(key string) lostWay {
+			s.loseAnswer = func(key string) answerLoss {
 				if key != CurrentKey {
 					return ""
 				}
-				s.loseAnswer = func(string) lostWay { return "" }
+				s.loseAnswer = func(string) answerLoss { return "" }
 				go func() { _, _ = other.Apply(ctx, submission(2, "second")) }()
-				return lostAfterEffect
+				return lostAfterWrite
 			}
 			_, err := NewPublisher(s, keys, "writer", time.Now).Apply(ctx, submission(1, "first"))
 			is.NoErr(err) // it was in effect, its history record shows it
 		})
 	})
-	t.Run("store gone", func(t *testing.T) {
+	t.Run("store becomes unavailable", func(t *testing.T) {
 		simulate(t, func(ctx context.Context, is *is.I) {
 			s := newFakeStore()
-			s.loseAnswer = func(string) lostWay { s.down = true; return lostAfterEffect }
+			s.loseAnswer = func(string) answerLoss { s.unavailable = true; return lostAfterWrite }
 			_, err := NewPublisher(s, keys, "writer", time.Now).Apply(ctx, submission(1, "first"))
 			var unknown *UnknownError
 			is.True(errors.As(err, &unknown))
@@ -138,23 +138,24 @@
 	})
 }
 
-// Guards against a history that grows without bound, has gaps, or is in another order.
+// Guards against a history that grows beyond HistoryLimit, has gaps, or is not ordered
+// from the newest record to the oldest.
 func TestHistory(t *testing.T) {
 	simulate(t, func(ctx context.Context, is *is.I) {
 		s := newFakeStore()
 		p := NewPublisher(s, keys, "writer", time.Now)
 		for g := uint64(1); g <= HistoryLimit+20; g++ {
-			s.set(func(s *fakeStore) { s.down = false })
+			s.set(func(s *fakeStore) { s.unavailable = false })
 			_, err := p.Apply(ctx, submission(g, "firm"))
 			is.NoErr(err)
 		}
-		is.Equal(len(s.entries), HistoryLimit+1) // and config/current
+		is.Equal(len(s.entries), HistoryLimit+1) // the history and config/current
 		rs, err := p.History(ctx, HistoryLimit)
 		is.NoErr(err)
 		is.Equal(len(rs), HistoryLimit)
 		for i, r := range rs {
 			is.Equal(r.Generation, uint64(HistoryLimit+20-i))
-			is.Equal(r.Text != "", i < HistoryTexts) // bounds memory
+			is.Equal(r.Text != "", i < HistoryRecordsWithText)
 		}
 	})
 }
@@ -167,22 +168,23 @@
 type applyOutput struct {
 	known      bool
 	applied    bool
-	generation uint64 // in effect, as told to the loser or the reader
+	generation uint64 // generation in effect, from the LostRaceError or the read
 	winner     string
 }
 
-type inEffect struct {
+// registerState is the configuration in effect.
+type registerState struct {
 	generation uint64
 	operator   string
 }
 
-// applyModel is one register with compare-and-swap on the generation. An application
-// with an unknown outcome takes effect or not.
+// applyModel is a register with compare-and-swap on the generation. An application with
+// an unknown outcome may or may not take effect.
 var applyModel = porcupine.Model{
-	Init: func() any { return inEffect{} },
+	Init: func() any { return registerState{} },
 	Step: func(state, input, output any) (bool, any) {
-		st, in, out := state.(inEffect), input.(applyInput), output.(applyOutput)
-		next := inEffect{in.replaces + 1, in.operator}
+		st, in, out := state.(registerState), input.(applyInput), output.(applyOutput)
+		next := registerState{in.replaces + 1, in.operator}
 		switch {
 		case in.operator != "" && !out.known:
 			if st.generation == in.replaces {
@@ -192,21 +194,21 @@
 		case out.applied:
 			return st.generation == in.replaces, next
 		}
-		return st == inEffect{out.generation, out.winner}, st
+		return st == registerState{out.generation, out.winner}, st
 	},
 }
 
-// Guards against histories of racing operators that no order of single applications
-// explains: two winners of one generation, a loser told of a winner that never was in
-// effect, or a lost answer reported the wrong way.
+// Guards against results of concurrent applications that are not linearizable: two
+// operators succeed with the same generation, an error names an operator whose text never
+// took effect, or a lost answer is reported with the wrong outcome.
 func TestApplyLinearizable(t *testing.T) {
 	for n := range uint64(20) {
 		simulate(t, func(ctx context.Context, is *is.I) {
 			random := rand.New(rand.NewPCG(n, 2))
 			s := newFakeStore()
 			s.delay = func() time.Duration { return time.Duration(random.Int64N(int64(300 * time.Millisecond))) }
-			s.loseAnswer = func(string) lostWay {
-				return []lostWay{"", "", "", lostAfterEffect, lostBeforeEffect, lostLate}[random.IntN(6)]
+			s.loseAnswer = func(string) answerLoss {
+				return []answerLoss{"", "", "", lostAfterWrite, lostWithoutWrite, lostBeforeLateWrite}[random.IntN(6)]
 			}
 			var clock atomic.Int64
 			var mu sync.Mutex
@@ -232,7 +234,7 @@
 						case errors.As(err, &lost):
 							out.generation, out.winner = lost.Generation, lost.AppliedBy
 						case errors.As(err, &refused) || errors.As(err, &unchanged):
-							continue // no effect, and no claim about a winner
+							continue // no effect, and no generation in effect to check
 						case err != nil:
 							out.known, end = false, int64(1)<<40 // may take effect at any later time
 						}
@@ -243,7 +245,7 @@
 				})
 			}
 			operators.Wait()
-			time.Sleep(2 * time.Second) // late effects
+			time.Sleep(2 * time.Second) // writes that take effect late
 			s.set(func(s *fakeStore) { s.delay = func() time.Duration { return 0 } })
 			b, err := readCurrent(ctx, s, keys)
 			is.NoErr(err)
@@ -252,7 +254,7 @@
 			if !porcupine.CheckOperations(applyModel, history) {
 				t.Errorf("seed %d: history of %d operations is not linearizable", n, len(history))
 			}
-			is.True(len(history) > 5 && b.record.Generation > 1) // the race was exercised
+			is.True(len(history) > 5 && b.record.Generation > 1) // enough applications competed
 		})
 	}
 }
--- a/internal/publisher/record.go
+++ b/internal/publisher/record.go
@@ -13,16 +13,17 @@
 // CurrentKey is the store's key of the configuration in effect.
 const CurrentKey = "config/current"
 
-// HistoryPrefix precedes the generation, in decimal, in the store's keys of the records
-// that are or were in effect.
+// HistoryPrefix is the prefix of the store's keys for the records that are or were in
+// effect. The generation follows it in decimal.
 const HistoryPrefix = "config/history/"
 
-// callTimeout bounds a store call other than a watch, and a fetch from a peer. Reading
-// twice with a pause between stays within the 7 s in which a configuration takes effect.
+// callTimeout is the timeout of a store call other than a watch, and of a fetch from a
+// peer. Two reads and the delay between them fit into the 7 s within which a
+// configuration takes effect.
 const callTimeout = 1500 * time.Millisecond
 
-// CorruptError says that a value of the store is no record that this host accepts. It
-// is left as it is for an operator to repair.
+// CorruptError reports that a value in the store is not a record that this host accepts.
+// The value is left unchanged so that an operator can repair it.
 type CorruptError struct {
 	Key      string
 	Revision uint64
@@ -36,8 +37,8 @@
 // Unwrap returns the cause.
 func (e *CorruptError) Unwrap() error { return e.Cause }
 
-// decode reads a record. It does not verify the signature.
-func decode(e storer.Entry) (configurator.Record, error) {
+// decodeRecord decodes a record. It does not verify the signature.
+func decodeRecord(e storer.Entry) (configurator.Record, error) {
 	var r configurator.Record
 	if err := json.Unmarshal(e.Value, &r); err != nil {
 		return r, &CorruptError{Key: e.Key, Revision: e.Revision, Cause: err}
@@ -47,7 +48,7 @@
 
 // current is what the store holds at CurrentKey.
 type current struct {
-	record   configurator.Record // Generation 0: none yet
+	record   configurator.Record // zero if no configuration was applied yet
 	parsed   *configurator.Configuration
 	value    []byte
 	revision uint64
@@ -61,7 +62,7 @@
 	if err != nil || e.Revision == 0 {
 		return current{}, err
 	}
-	r, err := decode(e)
+	r, err := decodeRecord(e)
 	if err != nil {
 		return current{}, err
 	}
