--- a/internal/loader/docs_test.go
+++ b/internal/loader/docs_test.go
@@ -10,9 +10,9 @@
 	"peridotpitch/internal/configurator"
 )
 
-// Guards against a key that docs/configuration.md lacks, describes in another way than
-// the code, or still lists after its removal.
-func TestPageListsEveryKey(t *testing.T) {
+// Guards against a key that docs/configuration.md lacks, describes differently from the
+// code, or still lists after its removal.
+func TestDocumentationListsEveryKey(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "docs", "configuration.md"))
 	if err != nil {
 		t.Fatal(err)
@@ -21,12 +21,12 @@
 	for _, d := range append(configurator.Docs(), Docs()...) {
 		before, after, found := strings.Cut(rest, d.Markdown())
 		if !found {
-			t.Errorf("page lacks this part, or has it in another place:\n%s", d.Markdown())
+			t.Errorf("docs/configuration.md lacks this part, or has it in another place:\n%s", d.Markdown())
 			continue
 		}
 		rest = before + after
 	}
 	if row := regexp.MustCompile("(?m)^\\| `[A-Z].*$").FindString(rest); row != "" {
-		t.Errorf("page has a row that the code does not know: %s", row)
+		t.Errorf("docs/configuration.md has a row for a key that does not exist: %s", row)
 	}
 }
--- a/internal/loader/fuzz_test.go
+++ b/internal/loader/fuzz_test.go
@@ -9,8 +9,8 @@
 	"peridotpitch/internal/configurator"
 )
 
-// Guards against a settings file that ends the process with a panic, is refused without
-// naming a fault, or means something else after it is printed.
+// Guards against a settings file that causes a panic, is refused without a fault, or has
+// other values after Print and Parse.
 func FuzzParse(f *testing.F) {
 	valid, err := os.ReadFile("testdata/settings.ini")
 	if err != nil {
--- a/internal/loader/settings.go
+++ b/internal/loader/settings.go
@@ -22,7 +22,7 @@
 	Name           string
 	FailureDomain  string
 	CallerAddress  netip.AddrPort // callers' requests and health checks
-	MessageAddress netip.AddrPort // messages of other entry hosts
+	MessageAddress netip.AddrPort // messages from other entry hosts
 	AdminAddress   netip.AddrPort // operators
 	StoreAddress   netip.AddrPort
 	Peers          []Peer // sorted by name; this host is not among them
@@ -38,13 +38,13 @@
 	Address       netip.AddrPort
 }
 
-// Limits bound the process's use of memory and time.
+// Limits holds the bounds on the process's memory and on the duration of its calls.
 type Limits struct {
 	MaxQueuedRequests  int           // requests waiting for a slot
 	MaxDecisionRecords int           // decision records kept in memory
-	StoreTimeout       time.Duration // of one store call other than a watch
-	MessageTimeout     time.Duration // of one message to another entry host other than Forward
-	DrainTimeout       time.Duration // bound of a graceful shutdown
+	StoreTimeout       time.Duration // timeout of a store call other than a watch
+	MessageTimeout     time.Duration // timeout of a message to another entry host other than Forward
+	DrainTimeout       time.Duration // timeout of a graceful shutdown
 }
 
 // Load reads and checks the settings file at path. A fault of the text gives a
@@ -67,33 +67,33 @@
 func Parse(text []byte) (Settings, error) {
 	sections, faults := configurator.ReadSections(text)
 	p := parser{lines: map[string]int{}, faults: faults}
-	p.s.OperatorKeys = configurator.Keys{}
+	p.settings.OperatorKeys = configurator.Keys{}
 	p.faults = append(p.faults, configurator.MissingSections(sections, Docs())...)
-	p.defaults()
+	p.setDefaults()
 	for _, s := range sections {
-		p.read(s)
+		p.readSection(s)
 	}
-	p.check()
+	p.validate()
 	if len(p.faults) > 0 {
 		return Settings{}, &configurator.InvalidError{Faults: configurator.SortFaults(p.faults)}
 	}
-	slices.SortFunc(p.s.Peers, func(a, b Peer) int { return cmp.Compare(a.Name, b.Name) })
-	return p.s, nil
+	slices.SortFunc(p.settings.Peers, func(a, b Peer) int { return cmp.Compare(a.Name, b.Name) })
+	return p.settings, nil
 }
 
 type parser struct {
-	s      Settings
-	lines  map[string]int // section header to line
-	faults []configurator.Fault
+	settings Settings
+	lines    map[string]int // section header to line
+	faults   []configurator.Fault
 }
 
-// defaults sets the values of optional sections that may be absent.
-func (p *parser) defaults() {
-	p.faults = append(p.faults, logTable.Read(configurator.Section{}, &p.s)...)
-	p.faults = append(p.faults, limitsTable.Read(configurator.Section{}, &p.s)...)
+// setDefaults sets the default values of the optional sections.
+func (p *parser) setDefaults() {
+	p.faults = append(p.faults, logTable.Read(configurator.Section{}, &p.settings)...)
+	p.faults = append(p.faults, limitsTable.Read(configurator.Section{}, &p.settings)...)
 }
 
-func (p *parser) read(s configurator.Section) {
+func (p *parser) readSection(s configurator.Section) {
 	if f, unknown := configurator.UnknownSection(s, Docs()); unknown {
 		p.faults = append(p.faults, f)
 		return
@@ -102,72 +102,74 @@
 	var faults []configurator.Fault
 	switch s.Kind {
 	case hostTable.Kind:
-		faults = hostTable.Read(s, &p.s)
+		faults = hostTable.Read(s, &p.settings)
 	case storeTable.Kind:
-		faults = storeTable.Read(s, &p.s)
+		faults = storeTable.Read(s, &p.settings)
 	case peerTable.Kind:
 		peer := Peer{Name: s.Name}
 		faults = peerTable.Read(s, &peer)
-		p.s.Peers = append(p.s.Peers, peer)
+		p.settings.Peers = append(p.settings.Peers, peer)
 	case operatorKeyTable.Kind:
 		key := operatorKey{name: s.Name}
 		if faults = operatorKeyTable.Read(s, &key); len(faults) == 0 {
-			p.s.OperatorKeys[s.Name] = key.public
+			p.settings.OperatorKeys[s.Name] = key.public
 		}
 	case logTable.Kind:
-		faults = logTable.Read(s, &p.s)
+		faults = logTable.Read(s, &p.settings)
 	case limitsTable.Kind:
-		faults = limitsTable.Read(s, &p.s)
+		faults = limitsTable.Read(s, &p.settings)
 	}
 	p.faults = append(p.faults, faults...)
 }
 
-func (p *parser) fault(section configurator.Section, key, allowed, format string, args ...any) {
+func (p *parser) addFault(section configurator.Section, key, allowed, format string, args ...any) {
 	header := section.Header()
 	p.faults = append(p.faults, configurator.Fault{Line: p.lines[header], Section: header, Key: key,
 		Problem: fmt.Sprintf(format, args...), Allowed: allowed})
 }
 
-func (p *parser) check() {
+// validate checks that addresses and keys are unique and that no peer is this host.
+func (p *parser) validate() {
 	host := configurator.Section{Kind: hostTable.Kind}
-	own := []struct {
+	listen := []struct {
 		key     string
 		address netip.AddrPort
-	}{{"CallerAddress", p.s.CallerAddress}, {"MessageAddress", p.s.MessageAddress}, {"AdminAddress", p.s.AdminAddress}}
-	for i, a := range own {
-		for _, b := range own[:i] {
+	}{{"CallerAddress", p.settings.CallerAddress}, {"MessageAddress", p.settings.MessageAddress}, {"AdminAddress", p.settings.AdminAddress}}
+	for i, a := range listen {
+		for _, b := range listen[:i] {
 			if overlaps(a.address, b.address) {
-				p.fault(host, a.key, "an address of its own", "%s is also %s", a.address, b.key)
+				p.addFault(host, a.key, "an address of its own", "%s is also %s", a.address, b.key)
 			}
 		}
 	}
 	addresses := map[netip.AddrPort]string{}
-	for _, q := range p.s.Peers {
+	for _, q := range p.settings.Peers {
 		s := configurator.Section{Kind: peerTable.Kind, Name: q.Name}
-		if q.Name == p.s.Name {
-			p.fault(s, "", "other entry hosts", "this entry host is listed as its own peer")
+		if q.Name == p.settings.Name {
+			p.addFault(s, "", "other entry hosts", "this entry host is listed as its own peer")
 		}
 		if first, ok := addresses[q.Address]; ok && q.Address.IsValid() {
-			p.fault(s, "Address", "an address of its own", "%s also belongs to %q", q.Address, first)
+			p.addFault(s, "Address", "an address of its own", "%s also belongs to %q", q.Address, first)
 		}
 		addresses[q.Address] = q.Name
 	}
 	p.checkKeys()
 }
 
-// checkKeys refuses a key under two names: the history could not tell who applied.
+// checkKeys reports a public key that has two names, because the history could then not
+// tell which operator applied a configuration.
 func (p *parser) checkKeys() {
 	owners := map[string]string{}
-	for _, n := range slices.Sorted(maps.Keys(p.s.OperatorKeys)) {
-		text := configurator.EncodePublicKey(p.s.OperatorKeys[n])
+	for _, n := range slices.Sorted(maps.Keys(p.settings.OperatorKeys)) {
+		text := configurator.EncodePublicKey(p.settings.OperatorKeys[n])
 		if first, ok := owners[text]; ok {
-			p.fault(configurator.Section{Kind: operatorKeyTable.Kind, Name: n}, "PublicKey", "a key of its own", "key also belongs to %q", first)
+			p.addFault(configurator.Section{Kind: operatorKeyTable.Kind, Name: n}, "PublicKey", "a key of its own", "key also belongs to %q", first)
 		}
 		owners[text] = n
 	}
 }
 
-// overlaps reports whether both addresses cannot be listened on at once.
+// overlaps reports whether a process cannot listen on both addresses at once.
 func overlaps(a, b netip.AddrPort) bool {
 	if !a.IsValid() || !b.IsValid() || a.Port() != b.Port() {
 		return false
--- a/internal/loader/settings_test.go
+++ b/internal/loader/settings_test.go
@@ -22,8 +22,7 @@
 	return string(text)
 }
 
-// Guards against a settings file that means something else after printing, and against
-// missing defaults.
+// Guards against settings that differ after Parse and Print, and against missing defaults.
 func TestPrintRoundTrip(t *testing.T) {
 	is := is.New(t)
 	s, err := Load(filepath.Join("testdata", "settings.ini"))
@@ -35,7 +34,7 @@
 	is.Equal(defaults, s) // the file states the defaults
 }
 
-// Guards against a fault that is passed over or reported at a wrong place.
+// Guards against a fault that is not reported, or reported for the wrong line or key.
 func TestParseFaults(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{"[Store]", "[Storage]", `line 8: [Storage] unknown section; allowed: [EntryHost], [Store], [Peer "name"], [OperatorKey "name"], [Log], [Limits]`},
--- a/internal/loader/tables.go
+++ b/internal/loader/tables.go
@@ -10,13 +10,13 @@
 	"peridotpitch/internal/configurator"
 )
 
-// operatorKey is one OperatorKey section.
+// operatorKey holds the values of one OperatorKey section.
 type operatorKey struct {
 	name   string
 	public ed25519.PublicKey
 }
 
-// Docs returns the documentation of every section of the settings file.
+// Docs returns the documentation of every kind of section in the settings file.
 func Docs() []configurator.SectionDoc {
 	return []configurator.SectionDoc{hostTable.Doc(), storeTable.Doc(), peerTable.Doc(), operatorKeyTable.Doc(), logTable.Doc(), limitsTable.Doc()}
 }
