--- a/internal/messenger/client.go
+++ b/internal/messenger/client.go
@@ -22,23 +22,23 @@
 
 // Defaults of Options.
 const (
-	DefaultExchangeTimeout = time.Second
-	DefaultCallTimeout     = 5 * time.Second
-	DefaultDialTimeout     = time.Second
-	DefaultMaxForwards     = 64
-	// forwardMargin is added to a forwarded request's own timeout, so that the other
-	// host's final outcome arrives before this host gives up.
-	forwardMargin = 250 * time.Millisecond
-	// Bounds of the pause after a failed dial. The upper bound equals the interval of
-	// heartbeats, so that a peer that returns is seen by the next heartbeat or the one
-	// after.
-	minBackoff = 50 * time.Millisecond
-	maxBackoff = 500 * time.Millisecond
-	// idleAfter is the age at which surplus idle connections are closed.
-	idleAfter = 30 * time.Second
+	DefaultExchangeTimeout       = time.Second
+	DefaultCallTimeout           = 5 * time.Second
+	DefaultDialTimeout           = time.Second
+	DefaultMaxConcurrentForwards = 64
+	// forwardTimeoutMargin is added to the timeout of a forwarded request, so that the
+	// final outcome from the other host arrives before the call here times out.
+	forwardTimeoutMargin = 250 * time.Millisecond
+	// minDialBackoff is the delay after the first failed dial.
+	minDialBackoff = 50 * time.Millisecond
+	// maxDialBackoff equals the heartbeat interval, so that a peer that is reachable
+	// again is dialed by the next heartbeat or the one after it.
+	maxDialBackoff = 500 * time.Millisecond
+	// maxIdleTime is how long a surplus connection may stay unused before it is closed.
+	maxIdleTime = 30 * time.Second
 )
 
-// NotSentError says that no byte of a message left this host.
+// NotSentError reports that no byte of a message left this host.
 type NotSentError struct {
 	Address netip.AddrPort
 	Method  string
@@ -52,54 +52,55 @@
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Cause }
 
-// LostError says that a message was sent, wholly or in part, and that no answer came.
-type LostError struct {
+// NoAnswerError reports that a message was sent, wholly or in part, but not answered. The
+// peer may have executed the call.
+type NoAnswerError struct {
 	Address netip.AddrPort
 	Method  string
 	Cause   error
 }
 
-func (e *LostError) Error() string {
+func (e *NoAnswerError) Error() string {
 	return fmt.Sprintf("entry host %s gave no answer to %s: %v", e.Address, e.Method, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *LostError) Unwrap() error { return e.Cause }
+func (e *NoAnswerError) Unwrap() error { return e.Cause }
 
-// RefusedError says that the peer answered with an error.
-type RefusedError struct {
+// RemoteError reports that the peer answered with an error.
+type RemoteError struct {
 	Address netip.AddrPort
 	Method  string
 	Reason  string
 }
 
-func (e *RefusedError) Error() string {
+func (e *RemoteError) Error() string {
 	return fmt.Sprintf("entry host %s answered %s with an error: %s", e.Address, e.Method, e.Reason)
 }
 
 // Options configures a Client. Zero fields take the defaults.
 type Options struct {
-	ExchangeTimeout time.Duration
-	CallTimeout     time.Duration // of all calls but Exchange and Forward
-	DialTimeout     time.Duration
-	MaxForwards     int        // Forward calls at the same time; further ones wait
-	Rand            *rand.Rand // jitter of the backoff; not used elsewhere at the same time
+	ExchangeTimeout       time.Duration
+	CallTimeout           time.Duration // for all methods of Peer except Exchange and Forward
+	DialTimeout           time.Duration
+	MaxConcurrentForwards int        // further Forward and Invoke calls wait for a connection
+	Rand                  *rand.Rand // jitter of the dial backoff; must not be used concurrently elsewhere
 }
 
 // Client implements Peer for the entry host at one address.
 type Client struct {
-	address  netip.AddrPort
-	options  Options
-	backoff  *backoff
-	exchange *lane
-	forward  *lane
-	other    *lane
+	address      netip.AddrPort
+	options      Options
+	backoff      *dialBackoff
+	exchangePool *connectionPool
+	forwardPool  *connectionPool
+	otherPool    *connectionPool
 }
 
 var _ Peer = (*Client)(nil)
 
-// NewClient returns a client and a function that closes its connections. It connects at
-// the first call.
+// NewClient returns a client and a function that closes its connections. The client
+// connects at the first call.
 func NewClient(address netip.AddrPort, o Options) (*Client, func()) {
 	if o.ExchangeTimeout <= 0 {
 		o.ExchangeTimeout = DefaultExchangeTimeout
@@ -110,18 +111,18 @@
 	if o.DialTimeout <= 0 {
 		o.DialTimeout = DefaultDialTimeout
 	}
-	if o.MaxForwards <= 0 {
-		o.MaxForwards = DefaultMaxForwards
+	if o.MaxConcurrentForwards <= 0 {
+		o.MaxConcurrentForwards = DefaultMaxConcurrentForwards
 	}
 	if o.Rand == nil {
 		o.Rand = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
-	b := &backoff{rnd: o.Rand}
+	b := &dialBackoff{rand: o.Rand}
 	c := &Client{address: address, options: o, backoff: b}
-	c.exchange, c.forward, c.other = c.newLane(1), c.newLane(o.MaxForwards), c.newLane(1)
+	c.exchangePool, c.forwardPool, c.otherPool = c.newPool(1), c.newPool(o.MaxConcurrentForwards), c.newPool(1)
 	return c, func() {
-		for _, l := range []*lane{c.exchange, c.forward, c.other} {
-			l.close()
+		for _, p := range []*connectionPool{c.exchangePool, c.forwardPool, c.otherPool} {
+			p.close()
 		}
 	}
 }
@@ -129,14 +130,15 @@
 // Exchange implements Peer.
 func (c *Client) Exchange(ctx context.Context, m Heartbeat) (HeartbeatAnswer, error) {
 	var out HeartbeatAnswer
-	err := c.exchange.call(ctx, c.options.ExchangeTimeout, methodExchange, &m, &out)
+	err := c.exchangePool.call(ctx, c.options.ExchangeTimeout, methodExchange, &m, &out)
 	return out, err
 }
 
-// Forward implements Peer. It ends shortly after the request's own timeout.
+// Forward implements Peer. It returns at the latest forwardTimeoutMargin after the
+// request's timeout.
 func (c *Client) Forward(ctx context.Context, m ForwardRequest) (ForwardAnswer, error) {
 	var out ForwardAnswer
-	err := c.forward.call(ctx, m.Timeout+forwardMargin, methodForward, &m, &out)
+	err := c.forwardPool.call(ctx, m.Timeout+forwardTimeoutMargin, methodForward, &m, &out)
 	return out, err
 }
 
@@ -164,7 +166,7 @@
 // FetchConfiguration implements Peer.
 func (c *Client) FetchConfiguration(ctx context.Context) (configurator.Record, error) {
 	var out configurator.Record
-	err := c.call(ctx, methodFetchConfiguration, &nothing{}, &out)
+	err := c.call(ctx, methodFetchConfiguration, &emptyMessage{}, &out)
 	return out, err
 }
 
@@ -177,86 +179,88 @@
 
 // Drain implements Peer.
 func (c *Client) Drain(ctx context.Context, host string, undo bool) error {
-	return c.call(ctx, methodDrain, &drainRequest{host, undo}, &nothing{})
+	return c.call(ctx, methodDrain, &drainRequest{host, undo}, &emptyMessage{})
 }
 
-// Invoke calls a method that ServeMethods serves. Up to MaxForwards such calls run at
-// the same time.
+// Invoke calls a method of a peer that uses ServeMethods. It shares the connections of
+// Forward: up to MaxConcurrentForwards calls run at the same time.
 func (c *Client) Invoke(ctx context.Context, timeout time.Duration, method string, in, out any) error {
-	return c.forward.call(ctx, timeout, method, in, out)
+	return c.forwardPool.call(ctx, timeout, method, in, out)
 }
 
 func (c *Client) call(ctx context.Context, method string, in, out any) error {
-	return c.other.call(ctx, c.options.CallTimeout, method, in, out)
+	return c.otherPool.call(ctx, c.options.CallTimeout, method, in, out)
 }
 
-// lane is a bounded set of connections for one kind of call.
-type lane struct {
+// connectionPool is a bounded set of connections to one peer, for one kind of call.
+type connectionPool struct {
 	client *Client
-	slots  chan struct{} // one token for each call that may run
+	tokens chan struct{} // semaphore: holds one element for each running call
 
 	mu     sync.Mutex // guards the fields below
 	idle   []*connection
-	busy   map[*connection]bool
+	inUse  map[*connection]bool
 	closed bool
 }
 
-// connection is one drpc connection, with the time of its last use.
+// connection is one drpc connection with its transport and the time of its last use.
 type connection struct {
 	*drpcconn.Conn
 	transport *countingConn
 	lastUse   time.Time
 }
 
-func (c *Client) newLane(size int) *lane {
-	return &lane{client: c, slots: make(chan struct{}, size), busy: make(map[*connection]bool)}
+func (c *Client) newPool(size int) *connectionPool {
+	return &connectionPool{client: c, tokens: make(chan struct{}, size), inUse: make(map[*connection]bool)}
 }
 
-var errClosed = errors.New("client is closed")
+var errClientClosed = errors.New("client is closed")
 
-// call runs one call on a connection of its own.
-func (l *lane) call(ctx context.Context, timeout time.Duration, method string, in, out any) error {
+// call makes one call on a connection that no other call uses at the same time.
+func (p *connectionPool) call(ctx context.Context, timeout time.Duration, method string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	notSent := func(err error) error {
-		return &NotSentError{Address: l.client.address, Method: method, Cause: err}
+		return &NotSentError{Address: p.client.address, Method: method, Cause: err}
 	}
-	// Encoded before a connection is taken: what cannot be encoded is not sent.
+	// Encode before acquiring a connection, so that an encoding error is reported as
+	// not sent.
 	body, err := encoding{}.Marshal(in)
 	if err != nil {
 		return notSent(err)
 	}
 	select {
-	case l.slots <- struct{}{}:
-		defer func() { <-l.slots }()
+	case p.tokens <- struct{}{}:
+		defer func() { <-p.tokens }()
 	case <-ctx.Done():
 		return notSent(fmt.Errorf("wait for a free connection: %w", ctx.Err()))
 	}
-	cn, err := l.take(ctx)
+	cn, err := p.acquire(ctx)
 	if err != nil {
 		return notSent(err)
 	}
-	before := cn.transport.written.Load()
-	err = cn.Invoke(ctx, method, encoded{}, body, out)
-	sent := cn.transport.written.Load() > before
+	writtenBefore := cn.transport.bytesWritten.Load()
+	err = cn.Invoke(ctx, method, preEncoded{}, body, out)
+	sent := cn.transport.bytesWritten.Load() > writtenBefore
 	code := drpcerr.Code(err)
-	l.put(cn, err == nil || code != 0)
+	p.release(cn, err == nil || code != 0)
 	switch {
 	case err == nil:
 		return nil
 	case code != 0:
-		return &RefusedError{Address: l.client.address, Method: method, Reason: err.Error()}
+		return &RemoteError{Address: p.client.address, Method: method, Reason: err.Error()}
 	case !sent:
 		return notSent(err)
 	}
-	return &LostError{Address: l.client.address, Method: method, Cause: err}
+	return &NoAnswerError{Address: p.client.address, Method: method, Cause: err}
 }
 
-// encoded is the client's drpc encoding: requests are already encoded.
-type encoded struct{ encoding }
+// preEncoded is the drpc encoding of the client: it takes requests as encoded bytes and
+// decodes answers.
+type preEncoded struct{ encoding }
 
 // Marshal implements drpc.Encoding.
-func (encoded) Marshal(m drpc.Message) ([]byte, error) {
+func (preEncoded) Marshal(m drpc.Message) ([]byte, error) {
 	b, ok := m.([]byte)
 	if !ok {
 		return nil, fmt.Errorf("message of type %T is not encoded", m)
@@ -264,146 +268,148 @@
 	return b, nil
 }
 
-// take returns an open idle connection, or dials one.
-func (l *lane) take(ctx context.Context) (*connection, error) {
-	if cn, err := l.takeIdle(); cn != nil || err != nil {
+// acquire returns an open idle connection, or dials a new one.
+func (p *connectionPool) acquire(ctx context.Context) (*connection, error) {
+	if cn, err := p.acquireIdle(); cn != nil || err != nil {
 		return cn, err
 	}
-	t, err := l.client.dial(ctx)
+	t, err := p.client.dial(ctx)
 	if err != nil {
 		return nil, err
 	}
 	cn := &connection{transport: t}
 	cn.Conn = drpcconn.NewWithOptions(t, drpcconn.Options{Manager: managerOptions()})
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.closed {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
 		go closeQuietly(cn)
-		return nil, errClosed
+		return nil, errClientClosed
 	}
-	l.busy[cn] = true
+	p.inUse[cn] = true
 	return cn, nil
 }
 
-func (l *lane) takeIdle() (*connection, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.closed {
-		return nil, errClosed
+func (p *connectionPool) acquireIdle() (*connection, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
+		return nil, errClientClosed
 	}
-	for len(l.idle) > 0 {
-		cn := l.idle[len(l.idle)-1]
-		l.idle = l.idle[:len(l.idle)-1]
+	for len(p.idle) > 0 {
+		cn := p.idle[len(p.idle)-1]
+		p.idle = p.idle[:len(p.idle)-1]
 		select {
 		case <-cn.Closed(): // the peer closed it while it was idle
 		default:
-			l.busy[cn] = true
+			p.inUse[cn] = true
 			return cn, nil
 		}
 	}
 	return nil, nil
 }
 
-// put gives a connection back, or closes it if its call did not end cleanly. It also
-// closes what has been idle for long, except the one that was just used.
-func (l *lane) put(cn *connection, keep bool) {
+// release returns a connection to the pool if keep is set, and closes it otherwise. It
+// also closes connections that have been idle for longer than maxIdleTime.
+func (p *connectionPool) release(cn *connection, keep bool) {
 	now := time.Now()
 	cn.lastUse = now
-	var drop []*connection
-	l.mu.Lock()
-	delete(l.busy, cn)
-	if keep && !l.closed {
-		l.idle = append(l.idle, cn)
+	var toClose []*connection
+	p.mu.Lock()
+	delete(p.inUse, cn)
+	if keep && !p.closed {
+		p.idle = append(p.idle, cn)
 	} else {
-		drop = append(drop, cn)
+		toClose = append(toClose, cn)
 	}
-	l.idle = slices.DeleteFunc(l.idle, func(o *connection) bool {
-		old := now.Sub(o.lastUse) > idleAfter
-		if old {
-			drop = append(drop, o)
+	p.idle = slices.DeleteFunc(p.idle, func(o *connection) bool {
+		expired := now.Sub(o.lastUse) > maxIdleTime
+		if expired {
+			toClose = append(toClose, o)
 		}
-		return old
+		return expired
 	})
-	l.mu.Unlock()
-	for _, o := range drop {
+	p.mu.Unlock()
+	for _, o := range toClose {
 		closeQuietly(o)
 	}
 }
 
-func (l *lane) close() {
-	l.mu.Lock()
-	l.closed = true
-	all := l.idle
-	l.idle = nil
-	for cn := range l.busy {
+func (p *connectionPool) close() {
+	p.mu.Lock()
+	p.closed = true
+	all := p.idle
+	p.idle = nil
+	for cn := range p.inUse {
 		all = append(all, cn)
 	}
-	l.mu.Unlock()
+	p.mu.Unlock()
 	for _, cn := range all {
 		closeQuietly(cn)
 	}
 }
 
-// closeQuietly closes a connection whose state no longer matters.
+// closeQuietly closes a connection and ignores the error.
 func closeQuietly(cn *connection) { _ = cn.Close() }
 
-// dial connects to the peer, unless an earlier attempt failed a short time ago.
+// dial connects to the peer. After a failed attempt it fails without dialing until the
+// backoff has passed.
 func (c *Client) dial(ctx context.Context) (*countingConn, error) {
-	if err := c.backoff.allow(time.Now()); err != nil {
+	if err := c.backoff.check(time.Now()); err != nil {
 		return nil, err
 	}
 	d := net.Dialer{Timeout: c.options.DialTimeout}
 	conn, err := d.DialContext(ctx, "tcp", c.address.String())
 	if err != nil && ctx.Err() == context.Canceled {
-		return nil, err // says nothing about the peer
+		return nil, err // canceled by the caller, so no failure of the peer
 	}
-	c.backoff.result(err, time.Now())
+	c.backoff.record(err, time.Now())
 	if err != nil {
 		return nil, err
 	}
 	return &countingConn{Conn: conn}, nil
 }
 
-// backoff spaces the attempts to connect to one peer.
-type backoff struct {
-	mu    sync.Mutex // guards the fields below
-	rnd   *rand.Rand
-	pause time.Duration // before jitter
-	next  time.Time
-	last  error
+// dialBackoff delays further attempts to connect to one peer after failed ones.
+type dialBackoff struct {
+	mu         sync.Mutex // guards the fields below
+	rand       *rand.Rand
+	delay      time.Duration // without jitter; 0 after a success
+	nextDialAt time.Time
+	lastError  error
 }
 
-func (b *backoff) allow(now time.Time) error {
+func (b *dialBackoff) check(now time.Time) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if now.Before(b.next) {
-		return fmt.Errorf("next attempt to connect in %s, after: %w", b.next.Sub(now).Round(time.Millisecond), b.last)
+	if now.Before(b.nextDialAt) {
+		return fmt.Errorf("next attempt to connect in %s, after: %w", b.nextDialAt.Sub(now).Round(time.Millisecond), b.lastError)
 	}
 	return nil
 }
 
-// result records an attempt. The pause doubles with each failure and has a jitter of
-// one half of it, so that hosts do not connect to a returning peer all at once.
-func (b *backoff) result(err error, now time.Time) {
+// record takes the result of an attempt. The delay doubles with each failure. The next
+// attempt is allowed after a random time between half the delay and the whole delay, so
+// that hosts do not all connect at once to a peer that has restarted.
+func (b *dialBackoff) record(err error, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if err == nil {
-		b.pause, b.next, b.last = 0, time.Time{}, nil
+		b.delay, b.nextDialAt, b.lastError = 0, time.Time{}, nil
 		return
 	}
-	b.pause = min(max(minBackoff, 2*b.pause), maxBackoff)
-	b.next = now.Add(b.pause/2 + time.Duration(b.rnd.Int64N(int64(b.pause/2)+1)))
-	b.last = err
+	b.delay = min(max(minDialBackoff, 2*b.delay), maxDialBackoff)
+	b.nextDialAt = now.Add(b.delay/2 + time.Duration(b.rand.Int64N(int64(b.delay/2)+1)))
+	b.lastError = err
 }
 
-// countingConn counts the bytes that the network accepted.
+// countingConn counts the bytes that the connection accepted for sending.
 type countingConn struct {
 	net.Conn
-	written atomic.Int64
+	bytesWritten atomic.Int64
 }
 
 func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.written.Add(int64(n))
+	c.bytesWritten.Add(int64(n))
 	return n, err
 }
--- a/internal/messenger/client_test.go
+++ b/internal/messenger/client_test.go
@@ -22,20 +22,23 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// host is a Handler whose Forward waits for release.
-type host struct {
+// blockingHandler is a Handler whose Forward blocks until release is closed or its context
+// ends. Its other methods return fixed answers.
+type blockingHandler struct {
 	release chan struct{}
-	ended   chan error // result of the context when a Forward ends
+	ended   chan error // for each finished Forward, the error of its context
 }
 
-func newHost() *host { return &host{release: make(chan struct{}), ended: make(chan error, 100)} }
+func newBlockingHandler() *blockingHandler {
+	return &blockingHandler{release: make(chan struct{}), ended: make(chan error, 100)}
+}
 
-func (h *host) Exchange(_ context.Context, m Heartbeat) (HeartbeatAnswer, error) {
+func (h *blockingHandler) Exchange(_ context.Context, m Heartbeat) (HeartbeatAnswer, error) {
 	return HeartbeatAnswer{Identity: Identity{Host: "e2", Generation: m.Generation}, Free: map[string]int{"quotes": 3},
 		Promises: []Promise{{Shard: "a/1", Epoch: 7, Kind: TenurePlacing}}}, nil
 }
 
-func (h *host) Forward(ctx context.Context, m ForwardRequest) (ForwardAnswer, error) {
+func (h *blockingHandler) Forward(ctx context.Context, m ForwardRequest) (ForwardAnswer, error) {
 	select {
 	case <-h.release:
 	case <-ctx.Done():
@@ -44,55 +47,55 @@
 	return ForwardAnswer{Request: m.Request, Status: 200, Body: m.Body}, ctx.Err()
 }
 
-func (h *host) SubmitJob(_ context.Context, m scheduler.JobSpec) (JobAnswer, error) {
+func (h *blockingHandler) SubmitJob(_ context.Context, m scheduler.JobSpec) (JobAnswer, error) {
 	return JobAnswer{Accepted: true, Status: scheduler.JobStatus{Spec: m, Submitted: time.Unix(5, 0)}}, nil
 }
 
-func (h *host) CancelJob(_ context.Context, name string) (JobAnswer, error) {
+func (h *blockingHandler) CancelJob(_ context.Context, name string) (JobAnswer, error) {
 	return JobAnswer{Reason: "no job " + name}, nil
 }
 
-func (h *host) ListJobs(context.Context, ListRequest) ([]scheduler.JobStatus, error) {
+func (h *blockingHandler) ListJobs(context.Context, ListRequest) ([]scheduler.JobStatus, error) {
 	return make([]scheduler.JobStatus, 3), nil
 }
 
-func (h *host) FetchConfiguration(context.Context) (configurator.Record, error) {
+func (h *blockingHandler) FetchConfiguration(context.Context) (configurator.Record, error) {
 	return configurator.Record{}, errors.New("no configuration yet")
 }
 
-func (h *host) Explain(_ context.Context, id string) (ExplainAnswer, error) {
-	return ExplainAnswer{Records: []string{strings.Repeat(id, MaxMessageSize)}}, nil
+func (h *blockingHandler) Explain(_ context.Context, id string) (ExplainAnswer, error) {
+	return ExplainAnswer{Records: []string{strings.Repeat(id, MaxMessageBytes)}}, nil
 }
 
-func (h *host) Drain(context.Context, string, bool) error { return nil }
+func (h *blockingHandler) Drain(context.Context, string, bool) error { return nil }
 
-func quietLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-func serveHost(t *testing.T, h Handler, address string) (*Server, netip.AddrPort, func()) {
+func startServer(t *testing.T, h Handler, address string) (*Server, netip.AddrPort, func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, stop := NewServer(l, h, quietLog())
+	s, stop := NewServer(l, h, discardLog())
 	return s, l.Addr().(*net.TCPAddr).AddrPort(), stop
 }
 
-func start(t *testing.T, o Options) (*host, *Server, *Client) {
+func startClientAndServer(t *testing.T, o Options) (*blockingHandler, *Server, *Client) {
 	t.Helper()
-	h := newHost()
-	s, address, stop := serveHost(t, h, "127.0.0.1:0")
+	h := newBlockingHandler()
+	s, address, stop := startServer(t, h, "127.0.0.1:0")
 	t.Cleanup(stop)
 	c, closeAll := NewClient(address, o)
 	t.Cleanup(closeAll)
 	return h, s, c
 }
 
-// Guards against messages that lose fields on the way.
-func TestMessagesArriveWhole(t *testing.T) {
+// Guards against messages that lose fields between client and server.
+func TestMessagesKeepAllFields(t *testing.T) {
 	is := is.New(t)
 	ctx := t.Context()
-	h, _, c := start(t, Options{})
+	h, _, c := startClientAndServer(t, Options{})
 	a, err := c.Exchange(ctx, Heartbeat{Identity: Identity{Generation: 9}})
 	is.NoErr(err)
 	is.Equal(a.Generation, uint64(9))
@@ -117,11 +120,11 @@
 	is.NoErr(c.Drain(ctx, "e2", false))
 }
 
-// Guards against heartbeats that wait behind slow forwarded requests, which would end
-// the promises of a healthy host.
+// Guards against heartbeats that wait behind slow forwarded requests. The promises of a
+// healthy host would then expire.
 func TestSlowForwardsDoNotDelayExchange(t *testing.T) {
 	is := is.New(t)
-	h, _, c := start(t, Options{MaxForwards: 4})
+	h, _, c := startClientAndServer(t, Options{MaxConcurrentForwards: 4})
 	var wg sync.WaitGroup
 	for i := range 8 {
 		wg.Go(func() {
@@ -131,28 +134,29 @@
 			}
 		})
 	}
-	for len(c.forward.slots) < 4 {
+	for len(c.forwardPool.tokens) < 4 {
 		time.Sleep(time.Millisecond)
 	}
 	for range 20 {
 		_, err := c.Exchange(t.Context(), Heartbeat{})
 		is.NoErr(err)
 	}
-	is.Equal(len(h.ended), 0) // all forwards are still running or waiting
+	is.Equal(len(h.ended), 0) // no Forward has finished
 	close(h.release)
 	wg.Wait()
 	is.Equal(len(h.ended), 8)
 }
 
-// Guards against an error that says "not sent" after bytes have left, and the other
-// way round: a forwarded request that may not be repeated depends on it.
+// Guards against a NotSentError after bytes have left the host, and against another error
+// when none have left. Whether a forwarded request that is not repeatable may be sent again
+// depends on it.
 func TestErrorsSayWhetherSent(t *testing.T) {
 	var notSent *NotSentError
-	var lost *LostError
-	var refused *RefusedError
+	var noAnswer *NoAnswerError
+	var remote *RemoteError
 	t.Run("connection refused", func(t *testing.T) {
 		is := is.New(t)
-		_, address, stop := serveHost(t, newHost(), "127.0.0.1:0")
+		_, address, stop := startServer(t, newBlockingHandler(), "127.0.0.1:0")
 		stop()
 		c, closeAll := NewClient(address, Options{})
 		defer closeAll()
@@ -161,9 +165,9 @@
 	})
 	t.Run("all connections busy", func(t *testing.T) {
 		is := is.New(t)
-		h, _, c := start(t, Options{MaxForwards: 1})
+		h, _, c := startClientAndServer(t, Options{MaxConcurrentForwards: 1})
 		go func() { _, _ = c.Forward(t.Context(), ForwardRequest{Timeout: time.Minute}) }()
-		for len(c.forward.slots) == 0 {
+		for len(c.forwardPool.tokens) == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		_, err := c.Forward(t.Context(), ForwardRequest{Timeout: time.Millisecond})
@@ -173,22 +177,22 @@
 	})
 	t.Run("too large", func(t *testing.T) {
 		is := is.New(t)
-		_, _, c := start(t, Options{})
-		_, err := c.Forward(t.Context(), ForwardRequest{Timeout: time.Minute, Body: make([]byte, MaxMessageSize)})
+		_, _, c := startClientAndServer(t, Options{})
+		_, err := c.Forward(t.Context(), ForwardRequest{Timeout: time.Minute, Body: make([]byte, MaxMessageBytes)})
 		is.True(errors.As(err, &notSent))
 		var large *MessageTooLargeError
 		is.True(errors.As(err, &large))
 	})
-	t.Run("abandoned", func(t *testing.T) {
+	t.Run("call times out", func(t *testing.T) {
 		is := is.New(t)
-		h, _, c := start(t, Options{})
+		h, _, c := startClientAndServer(t, Options{})
 		_, err := c.Forward(t.Context(), ForwardRequest{Timeout: time.Millisecond})
-		is.True(errors.As(err, &lost))
-		is.True(<-h.ended != nil) // the peer's handler learns of it by its context
+		is.True(errors.As(err, &noAnswer))
+		is.True(<-h.ended != nil) // the context of the peer's handler was canceled
 	})
-	t.Run("peer dies", func(t *testing.T) {
+	t.Run("peer stops", func(t *testing.T) {
 		is := is.New(t)
-		_, address, stop := serveHost(t, newHost(), "127.0.0.1:0")
+		_, address, stop := startServer(t, newBlockingHandler(), "127.0.0.1:0")
 		c, closeAll := NewClient(address, Options{})
 		defer closeAll()
 		done := make(chan error)
@@ -196,40 +200,40 @@
 			_, err := c.Forward(t.Context(), ForwardRequest{Timeout: time.Minute})
 			done <- err
 		}()
-		for len(c.forward.slots) == 0 {
+		for len(c.forwardPool.tokens) == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		time.Sleep(20 * time.Millisecond) // the call may not have left yet; then it is not sent
+		time.Sleep(20 * time.Millisecond) // usually long enough for the request to be sent; otherwise the error is NotSentError
 		stop()
 		err := <-done
-		is.True(errors.As(err, &lost) || errors.As(err, &notSent))
+		is.True(errors.As(err, &noAnswer) || errors.As(err, &notSent))
 	})
 	t.Run("error from the handler", func(t *testing.T) {
 		is := is.New(t)
-		_, _, c := start(t, Options{})
+		_, _, c := startClientAndServer(t, Options{})
 		_, err := c.FetchConfiguration(t.Context())
-		is.True(errors.As(err, &refused))
-		is.Equal(refused.Reason, "no configuration yet")
+		is.True(errors.As(err, &remote))
+		is.Equal(remote.Reason, "no configuration yet")
 		_, err = c.Explain(t.Context(), "x") // the answer is too large
-		is.True(errors.As(err, &refused))
-		is.NoErr(c.Drain(t.Context(), "", true)) // the connection is still in order
+		is.True(errors.As(err, &remote))
+		is.NoErr(c.Drain(t.Context(), "", true)) // the connection is still usable
 	})
 }
 
-// Guards against a client that does not come back to a peer that was restarted.
-func TestReconnects(t *testing.T) {
+// Guards against a client that does not connect again to a peer that was restarted.
+func TestClientReconnectsAfterPeerRestart(t *testing.T) {
 	is := is.New(t)
-	_, address, stop := serveHost(t, newHost(), "127.0.0.1:0")
+	_, address, stop := startServer(t, newBlockingHandler(), "127.0.0.1:0")
 	c, closeAll := NewClient(address, Options{})
 	defer closeAll()
 	_, err := c.Exchange(t.Context(), Heartbeat{})
 	is.NoErr(err)
 	stop()
-	for c.backoff.allow(time.Now()) == nil {
+	for c.backoff.check(time.Now()) == nil {
 		_, err = c.Exchange(t.Context(), Heartbeat{})
 		is.True(err != nil)
 	}
-	_, _, stop = serveHost(t, newHost(), address.String())
+	_, _, stop = startServer(t, newBlockingHandler(), address.String())
 	defer stop()
 	for {
 		if _, err = c.Exchange(t.Context(), Heartbeat{}); err == nil {
@@ -239,25 +243,26 @@
 	}
 }
 
-// Guards against attempts to connect that grow without bound or come all at once.
-func TestBackoffIsBounded(t *testing.T) {
+// Guards against a delay between attempts to connect that grows without bound, is shorter
+// than half the minimum, or outlasts a successful attempt.
+func TestDialBackoffIsBounded(t *testing.T) {
 	is := is.New(t)
 	c, closeAll := NewClient(netip.AddrPort{}, Options{})
 	defer closeAll()
 	now := time.Unix(0, 0)
 	for range 10 {
-		c.backoff.result(io.EOF, now)
-		is.True(c.backoff.next.Sub(now) <= maxBackoff)
-		is.True(c.backoff.next.Sub(now) >= minBackoff/2)
+		c.backoff.record(io.EOF, now)
+		is.True(c.backoff.nextDialAt.Sub(now) <= maxDialBackoff)
+		is.True(c.backoff.nextDialAt.Sub(now) >= minDialBackoff/2)
 	}
-	c.backoff.result(nil, now)
-	is.NoErr(c.backoff.allow(now))
+	c.backoff.record(nil, now)
+	is.NoErr(c.backoff.check(now))
 }
 
-// Guards against a planned stop that interrupts a forwarded request.
+// Guards against a shutdown that interrupts a forwarded request.
 func TestShutdownWaitsForCalls(t *testing.T) {
 	is := is.New(t)
-	h, s, c := start(t, Options{})
+	h, s, c := startClientAndServer(t, Options{})
 	done := make(chan error)
 	go func() {
 		_, err := c.Forward(t.Context(), ForwardRequest{Timeout: time.Minute})
@@ -285,7 +290,7 @@
 		fmt.Println(err)
 		return
 	}
-	_, stop := NewServer(l, newHost(), quietLog())
+	_, stop := NewServer(l, newBlockingHandler(), discardLog())
 	defer stop()
 	c, closeAll := NewClient(l.Addr().(*net.TCPAddr).AddrPort(), Options{})
 	defer closeAll()
--- a/internal/messenger/doc.go
+++ b/internal/messenger/doc.go
@@ -1,11 +1,12 @@
-// Package messenger is the transport between entry hosts: drpc with msgpack. It makes
-// no decisions and retries nothing.
+// Package messenger is the transport between entry hosts: remote procedure calls over
+// drpc, with messages encoded as msgpack. It makes no decisions and retries nothing.
 //
-// drpc runs one call at a time on a connection. A Client therefore has three lanes to
-// its peer: one connection for Exchange alone, a few for Forward, which grow with demand,
-// and one for everything else. A slow or large call can delay only calls of its own lane.
-// The connection of an abandoned call is closed.
+// drpc runs one call at a time on a connection. A Client therefore has three connection
+// pools for its peer: one connection for Exchange alone, up to MaxConcurrentForwards
+// connections for Forward and Invoke, opened on demand, and one connection for all other
+// methods. A slow or large call can delay only calls of its own pool. The connection of a
+// call that was canceled or timed out is closed.
 //
-// Lock order: a lane's lock, then the counter of its connections. A lane calls nothing
-// while it holds its lock.
+// Lock order: none; no lock of this package is held while another one is taken, or
+// during a call, a dial or the closing of a connection.
 package messenger
--- a/internal/messenger/encoding.go
+++ b/internal/messenger/encoding.go
@@ -9,29 +9,29 @@
 	"storj.io/drpc"
 )
 
-// Bounds of a decoded message. They keep a damaged message from exhausting memory or
-// the stack before the decoder notices the damage.
+// Bounds of a decoded message. Without them a malformed message could exhaust memory or
+// the stack before the decoder detects that it is malformed.
 const (
-	maxDepth    = 16    // the messages nest 5 levels deep
-	maxElements = 65536 // of one array or map; 19,000 jobs are the largest list expected
+	maxNestingDepth      = 16    // levels; the messages of this package nest 5 levels deep
+	maxContainerElements = 65536 // per array or map; the largest list expected has 19,000 jobs
 )
 
-// MessageTooLargeError says that an encoded message is over MaxMessageSize.
+// MessageTooLargeError reports that an encoded message is larger than MaxMessageBytes.
 type MessageTooLargeError struct {
-	Size int // bytes
+	Size int // in bytes
 }
 
 func (e *MessageTooLargeError) Error() string {
-	return fmt.Sprintf("message has %d bytes, the bound is %d", e.Size, MaxMessageSize)
+	return fmt.Sprintf("message has %d bytes, the bound is %d", e.Size, MaxMessageBytes)
 }
 
-// MalformedError says that a message is not well-formed msgpack within the bounds.
-type MalformedError struct {
-	Offset int // bytes
+// MalformedMessageError reports that a message is not well-formed msgpack within the bounds.
+type MalformedMessageError struct {
+	Offset int // in bytes
 	Reason string
 }
 
-func (e *MalformedError) Error() string {
+func (e *MalformedMessageError) Error() string {
 	return fmt.Sprintf("malformed message at byte %d: %s", e.Offset, e.Reason)
 }
 
@@ -44,19 +44,19 @@
 	if err != nil {
 		return nil, fmt.Errorf("encode %T: %w", m, err)
 	}
-	if len(b) > MaxMessageSize {
+	if len(b) > MaxMessageBytes {
 		return nil, &MessageTooLargeError{Size: len(b)}
 	}
 	return b, nil
 }
 
-// Unmarshal implements drpc.Encoding. Unknown fields are skipped, so that hosts of two
-// versions understand each other.
+// Unmarshal implements drpc.Encoding. Unknown fields are skipped, so that hosts that run
+// different versions can exchange messages.
 func (encoding) Unmarshal(b []byte, m drpc.Message) error {
-	if len(b) > MaxMessageSize {
+	if len(b) > MaxMessageBytes {
 		return &MessageTooLargeError{Size: len(b)}
 	}
-	if err := check(b); err != nil {
+	if err := checkStructure(b); err != nil {
 		return err
 	}
 	if err := msgpack.NewDecoder(bytes.NewReader(b)).Decode(m); err != nil {
@@ -65,123 +65,128 @@
 	return nil
 }
 
-// check reads b once, without recursion, and reports whether it is exactly one msgpack
-// value within the bounds.
-func check(b []byte) error {
-	open := make([]int, 1, maxDepth+1) // values still expected at each level
-	open[0] = 1
-	at := 0
-	for len(open) > 0 {
-		top := len(open) - 1
-		if open[top] == 0 {
-			open = open[:top]
+// checkStructure returns an error unless b is exactly one msgpack value within the bounds.
+// It makes one pass over b and does not recurse.
+func checkStructure(b []byte) error {
+	remaining := make([]int, 1, maxNestingDepth+1) // values still to be read, by nesting level
+	remaining[0] = 1
+	offset := 0
+	for len(remaining) > 0 {
+		top := len(remaining) - 1
+		if remaining[top] == 0 {
+			remaining = remaining[:top]
 			continue
 		}
-		open[top]--
-		h, err := header(b, at)
+		remaining[top]--
+		h, err := readHeader(b, offset)
 		if err != nil {
 			return err
 		}
-		at += h.size
+		offset += h.bytes
 		if h.values == 0 {
 			continue
 		}
-		if len(open) > maxDepth {
-			return &MalformedError{Offset: at, Reason: "nested too deep"}
+		if len(remaining) > maxNestingDepth {
+			return &MalformedMessageError{Offset: offset, Reason: "nested too deep"}
 		}
-		open = append(open, h.values)
+		remaining = append(remaining, h.values)
 	}
-	if at != len(b) {
-		return &MalformedError{Offset: at, Reason: fmt.Sprintf("%d bytes after the message", len(b)-at)}
+	if offset != len(b) {
+		return &MalformedMessageError{Offset: offset, Reason: fmt.Sprintf("%d bytes after the message", len(b)-offset)}
 	}
 	return nil
 }
 
-// head describes one value: its bytes, without the values that it contains.
-type head struct {
-	size   int
-	values int
+// valueHeader describes one value. Elements of an array or map are values of their own.
+type valueHeader struct {
+	bytes  int // size, without contained values
+	values int // number of contained values; keys of a map count too
 }
 
-// header reads the value that starts at b[at].
-func header(b []byte, at int) (head, error) {
-	if at >= len(b) {
-		return head{}, &MalformedError{Offset: at, Reason: "ends early"}
+// readHeader reads the header of the value that starts at b[offset].
+func readHeader(b []byte, offset int) (valueHeader, error) {
+	if offset >= len(b) {
+		return valueHeader{}, &MalformedMessageError{Offset: offset, Reason: "ends early"}
 	}
-	c := b[at]
+	c := b[offset]
 	switch {
-	case c <= 0x7f || c >= 0xe0: // small numbers
-		return head{size: 1}, nil
+	case c <= 0x7f || c >= 0xe0: // small integers
+		return valueHeader{bytes: 1}, nil
 	case c <= 0x8f: // small map
-		return head{size: 1, values: 2 * int(c&0x0f)}, nil
+		return valueHeader{bytes: 1, values: 2 * int(c&0x0f)}, nil
 	case c <= 0x9f: // small array
-		return head{size: 1, values: int(c & 0x0f)}, nil
+		return valueHeader{bytes: 1, values: int(c & 0x0f)}, nil
 	case c <= 0xbf: // short string
-		return sized(b, at, 1, int(c&0x1f))
+		return headerWithData(b, offset, 1, int(c&0x1f))
 	}
-	return longHeader(b, at)
+	return readTypedHeader(b, offset)
 }
 
-// longHeader reads a value whose first byte, from 0xc0 to 0xdf, names its type.
-func longHeader(b []byte, at int) (head, error) {
-	switch c := b[at]; c {
+// readTypedHeader reads the header of a value whose first byte, from 0xc0 to 0xdf, is its
+// type.
+func readTypedHeader(b []byte, offset int) (valueHeader, error) {
+	switch c := b[offset]; c {
 	case 0xc0, 0xc2, 0xc3: // nil, false, true
-		return head{size: 1}, nil
+		return valueHeader{bytes: 1}, nil
 	case 0xc4, 0xc5, 0xc6: // binary
-		return counted(b, at, 1<<(c-0xc4), 0)
-	case 0xc7, 0xc8, 0xc9: // extension, with one byte for its type
-		return counted(b, at, 1<<(c-0xc7), 1)
+		return readLengthPrefixed(b, offset, 1<<(c-0xc4), 0)
+	case 0xc7, 0xc8, 0xc9: // extensions, with one more byte for the extension type
+		return readLengthPrefixed(b, offset, 1<<(c-0xc7), 1)
 	case 0xca, 0xcb: // floats
-		return sized(b, at, 1, 4<<(c-0xca))
+		return headerWithData(b, offset, 1, 4<<(c-0xca))
 	case 0xcc, 0xcd, 0xce, 0xcf: // unsigned integers
-		return sized(b, at, 1, 1<<(c-0xcc))
+		return headerWithData(b, offset, 1, 1<<(c-0xcc))
 	case 0xd0, 0xd1, 0xd2, 0xd3: // signed integers
-		return sized(b, at, 1, 1<<(c-0xd0))
+		return headerWithData(b, offset, 1, 1<<(c-0xd0))
 	case 0xd4, 0xd5, 0xd6, 0xd7, 0xd8: // extensions of fixed size
-		return sized(b, at, 2, 1<<(c-0xd4))
+		return headerWithData(b, offset, 2, 1<<(c-0xd4))
 	case 0xd9, 0xda, 0xdb: // strings
-		return counted(b, at, 1<<(c-0xd9), 0)
+		return readLengthPrefixed(b, offset, 1<<(c-0xd9), 0)
 	case 0xdc, 0xdd: // arrays
-		return container(b, at, 2<<(c-0xdc), 1)
+		return readContainer(b, offset, 2<<(c-0xdc), 1)
 	case 0xde, 0xdf: // maps
-		return container(b, at, 2<<(c-0xde), 2)
+		return readContainer(b, offset, 2<<(c-0xde), 2)
 	}
-	return head{}, &MalformedError{Offset: at, Reason: fmt.Sprintf("unknown type %#x", b[at])}
+	return valueHeader{}, &MalformedMessageError{Offset: offset, Reason: fmt.Sprintf("unknown type %#x", b[offset])}
 }
 
-// sized returns a value of a header and data, if b holds them.
-func sized(b []byte, at, header, data int) (head, error) {
-	if data > len(b)-at-header {
-		return head{}, &MalformedError{Offset: at, Reason: "ends early"}
+// headerWithData describes a value of headerBytes and dataBytes, or returns an error if b
+// ends before that.
+func headerWithData(b []byte, offset, headerBytes, dataBytes int) (valueHeader, error) {
+	if dataBytes > len(b)-offset-headerBytes {
+		return valueHeader{}, &MalformedMessageError{Offset: offset, Reason: "ends early"}
 	}
-	return head{size: header + data}, nil
+	return valueHeader{bytes: headerBytes + dataBytes}, nil
 }
 
-// number reads an unsigned number of width 1, 2 or 4 bytes that follows the type byte.
-func number(b []byte, at, width int) (int, error) {
-	if _, err := sized(b, at, 1, width); err != nil {
+// readLength reads the length after the type byte: an unsigned integer of 1, 2 or 4 bytes.
+func readLength(b []byte, offset, width int) (int, error) {
+	if _, err := headerWithData(b, offset, 1, width); err != nil {
 		return 0, err
 	}
-	var full [4]byte
-	copy(full[4-width:], b[at+1:at+1+width])
-	return int(binary.BigEndian.Uint32(full[:])), nil
+	var padded [4]byte
+	copy(padded[4-width:], b[offset+1:offset+1+width])
+	return int(binary.BigEndian.Uint32(padded[:])), nil
 }
 
-func counted(b []byte, at, width, extra int) (head, error) {
-	n, err := number(b, at, width)
+// readLengthPrefixed reads the header of a value whose data follows its length and
+// extraHeaderBytes.
+func readLengthPrefixed(b []byte, offset, width, extraHeaderBytes int) (valueHeader, error) {
+	n, err := readLength(b, offset, width)
 	if err != nil {
-		return head{}, err
+		return valueHeader{}, err
 	}
-	return sized(b, at, 1+width+extra, n)
+	return headerWithData(b, offset, 1+width+extraHeaderBytes, n)
 }
 
-func container(b []byte, at, width, perElement int) (head, error) {
-	n, err := number(b, at, width)
+// readContainer reads the header of an array or map.
+func readContainer(b []byte, offset, width, valuesPerElement int) (valueHeader, error) {
+	n, err := readLength(b, offset, width)
 	if err != nil {
-		return head{}, err
+		return valueHeader{}, err
 	}
-	if n > maxElements {
-		return head{}, &MalformedError{Offset: at, Reason: fmt.Sprintf("%d elements, the bound is %d", n, maxElements)}
+	if n > maxContainerElements {
+		return valueHeader{}, &MalformedMessageError{Offset: offset, Reason: fmt.Sprintf("%d elements, the bound is %d", n, maxContainerElements)}
 	}
-	return head{size: 1 + width, values: perElement * n}, nil
+	return valueHeader{bytes: 1 + width, values: valuesPerElement * n}, nil
 }
--- a/internal/messenger/encoding_test.go
+++ b/internal/messenger/encoding_test.go
@@ -14,55 +14,56 @@
 	"peridotpitch/internal/scheduler"
 )
 
-// Guards against a damaged message that exhausts memory or the stack.
+// Guards against malformed messages that are accepted, or that exhaust memory or the stack.
 func TestMalformedMessagesAreRejected(t *testing.T) {
 	deep := make([]byte, 1<<20)
 	for i := range deep {
 		deep[i] = 0x91 // an array of one element
 	}
 	for name, b := range map[string][]byte{
-		"empty":                {},
-		"nested too deep":      deep,
-		"huge array":           {0xdd, 0xff, 0xff, 0xff, 0xff},
-		"huge map":             {0xdf, 0xff, 0xff, 0xff, 0xff},
-		"string that is cut":   {0xdb, 0x00, 0x00, 0x10, 0x00, 'a'},
-		"number that is cut":   {0xcf, 0x00},
-		"reserved type":        {0xc1},
-		"bytes after the end":  {0x80, 0x80},
-		"fewer values than it": {0x82, 0xa1, 'a', 0x01},
+		"empty":              {},
+		"nested too deep":    deep,
+		"huge array":         {0xdd, 0xff, 0xff, 0xff, 0xff},
+		"huge map":           {0xdf, 0xff, 0xff, 0xff, 0xff},
+		"truncated string":   {0xdb, 0x00, 0x00, 0x10, 0x00, 'a'},
+		"truncated number":   {0xcf, 0x00},
+		"reserved type":      {0xc1},
+		"trailing bytes":     {0x80, 0x80},
+		"missing map values": {0x82, 0xa1, 'a', 0x01},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var m Heartbeat
-			var malformed *MalformedError
+			var malformed *MalformedMessageError
 			is.True(errors.As(encoding{}.Unmarshal(b, &m), &malformed))
 		})
 	}
 }
 
-// fuzzMessage checks that decoding never panics, and that what decodes is the same after
-// it is encoded and decoded again.
+// fuzzMessage checks that decoding never panics, and that a decoded message does not
+// change when it is encoded and decoded again.
 func fuzzMessage[M any](f *testing.F) {
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var first, second M
 		if encoding.Unmarshal(encoding{}, b, &first) != nil {
 			return
 		}
-		again, err := encoding{}.Marshal(&first)
+		reencoded, err := encoding{}.Marshal(&first)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := (encoding{}).Unmarshal(again, &second); err != nil {
+		if err := (encoding{}).Unmarshal(reencoded, &second); err != nil {
 			t.Fatal(err)
 		}
-		// In text, because a NaN does not equal itself.
+		// Compared as text, because a NaN does not equal itself.
 		if a, b := fmt.Sprintf("%+v", first), fmt.Sprintf("%+v", second); a != b {
 			t.Fatalf("decoded again as\n%s\ninstead of\n%s", b, a)
 		}
 	})
 }
 
-// The fuzz targets guard against panics and altered values in what a peer sends.
+// The fuzz targets guard against panics and altered values when messages of a peer are
+// decoded.
 
 func FuzzHeartbeat(f *testing.F)       { fuzzMessage[Heartbeat](f) }
 func FuzzHeartbeatAnswer(f *testing.F) { fuzzMessage[HeartbeatAnswer](f) }
@@ -72,8 +73,8 @@
 func FuzzJobList(f *testing.F)         { fuzzMessage[jobList](f) }
 func FuzzRecord(f *testing.F)          { fuzzMessage[configurator.Record](f) }
 
-// seeds are one full message for each fuzz target.
-var seeds = map[string]any{
+// fuzzSeeds has one message with many fields set for each fuzz target.
+var fuzzSeeds = map[string]any{
 	"FuzzHeartbeat": Heartbeat{
 		Identity: Identity{Host: "e1", FailureDomain: "malolos", Incarnation: "e1-1", Generation: 4, InEffectFor: time.Second, Notices: []HostNotice{{Host: "w1", Source: SourcePlatform, Leaving: true, Version: 3}}},
 		Claims:   []ShardClaim{{Shard: "malolos/a", Epoch: 2, Kinds: []TenureKind{TenurePlacing, TenureRunning}}},
@@ -94,10 +95,10 @@
 	"FuzzRecord":        configurator.Record{Generation: 3, Text: "[Configuration]\n", Signature: []byte{1, 2}, Key: "k", AppliedAt: time.Unix(7, 0)},
 }
 
-// Guards against a message format that changes unnoticed: the committed seeds are today's
-// encoding. Set WRITE_SEEDS=1 to rewrite them after a deliberate change.
+// Guards against an unintended change of the message format: the committed seeds must equal
+// the current encoding. Set WRITE_SEEDS=1 to rewrite them after an intended change.
 func TestSeedsAreCurrentEncoding(t *testing.T) {
-	for name, m := range seeds {
+	for name, m := range fuzzSeeds {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			b, err := encoding{}.Marshal(m)
--- a/internal/messenger/message.go
+++ b/internal/messenger/message.go
@@ -8,19 +8,19 @@
 	"peridotpitch/internal/scheduler"
 )
 
-// MaxMessageSize bounds the encoded size of a message, in bytes.
-const MaxMessageSize = 4 << 20
+// MaxMessageBytes is the maximum size of an encoded message.
+const MaxMessageBytes = 4 << 20
 
-// TenureKind tells the two tenures of a shard apart.
+// TenureKind distinguishes the two ownership leases of a shard.
 type TenureKind string
 
-// Tenure kinds.
+// Kinds of ownership leases.
 const (
-	TenurePlacing TenureKind = "placing"
-	TenureRunning TenureKind = "running"
+	TenurePlacing TenureKind = "placing" // the owner may place and start tasks
+	TenureRunning TenureKind = "running" // the owner may keep tasks running
 )
 
-// Identity is what each heartbeat says about its sender.
+// Identity describes the sender of a heartbeat or of its answer.
 type Identity struct {
 	Host          string
 	FailureDomain string
@@ -30,11 +30,11 @@
 	InEffectFor   time.Duration
 	Leaving       bool
 	Drained       bool         // the host has answered all its requests and takes no more
-	NoticeDigest  uint64       // of the notices that say leaving; hosts with equal digests exchange none
-	Notices       []HostNotice // what the sender knows of leaving hosts
+	NoticeDigest  uint64       // of the notices with Leaving set; hosts with equal digests send no notices
+	Notices       []HostNotice // notices about leaving hosts that the sender holds
 }
 
-// NoticeSource says who gave a HostNotice.
+// NoticeSource is the origin of a HostNotice.
 type NoticeSource string
 
 // Notice sources.
@@ -44,9 +44,9 @@
 	SourceHost     NoticeSource = "host" // the host itself
 )
 
-// HostNotice says whether a host is leaving, by one source. Of two notices with the
-// same host and source the one with the higher Version holds; at equal versions the
-// one that says leaving.
+// HostNotice states whether a host is leaving, according to one source. Of two notices
+// for the same host and source, the one with the higher Version takes precedence; at equal
+// versions, the one with Leaving set.
 type HostNotice struct {
 	Host    string
 	Source  NoticeSource
@@ -58,32 +58,34 @@
 type ShardClaim struct {
 	Shard string
 	Epoch uint64
-	Kinds []TenureKind // tenures for which a promise is asked
+	Kinds []TenureKind // leases for which the sender requests a Promise
 }
 
-// SlotDemand is what the sender uses and wants of an instance.
+// SlotDemand is the number of slots of an instance that the sender uses and wants.
 type SlotDemand struct {
 	Instance string
 	InUse    int
 	Wanted   int
 }
 
-// Promise says that the answering host will not claim the shard for the tenure's TTL.
+// Promise states that the answering host will not claim the shard during the TTL of the
+// ownership lease of this kind.
 type Promise struct {
 	Shard string
 	Epoch uint64
 	Kind  TenureKind
 }
 
-// SlotGrant lends pool slots of an instance to the asking host.
+// SlotGrant permits the host that sent the heartbeat to use slots of an instance's pool
+// for a limited time.
 type SlotGrant struct {
 	Instance string
 	Slots    int
-	For      time.Duration // counted from when the heartbeat was sent
+	For      time.Duration // from the time at which the heartbeat was sent
 	Epoch    uint64
 }
 
-// Endpoint is a service instance that can take requests.
+// Endpoint is a service instance that accepts requests.
 type Endpoint struct {
 	Instance      string
 	Service       string
@@ -108,26 +110,28 @@
 // HeartbeatAnswer answers a Heartbeat.
 type HeartbeatAnswer struct {
 	Identity
-	// HoldFor is how long requests of an earlier process of the asking host may still
-	// run at backend servers: it died with requests in flight.
+	// HoldFor is how long requests of an earlier process of the host that sent the
+	// heartbeat may still run at backend servers, if that process ended with requests in
+	// flight.
 	HoldFor   time.Duration
 	Promises  []Promise
 	Grants    []SlotGrant
-	Endpoints []Endpoint // of the shards that the answering host owns; only within a failure domain
-	// Free is the number of free slots by service; other failure domains forward by it.
+	Endpoints []Endpoint // of the shards that the answering host owns; empty for a host in another failure domain
+	// Free is the number of free slots by service. Hosts in other failure domains use it
+	// to choose the host to which they forward a request.
 	Free map[string]int
 }
 
 // ForwardRequest carries one caller's request to another failure domain's entry host.
 type ForwardRequest struct {
-	Request    string // identity
+	Request    string // request identity
 	Service    string
 	Path       string
 	Method     string
 	Tenant     string
 	Class      string
 	Repeatable bool
-	Timeout    time.Duration // time left
+	Timeout    time.Duration // remaining time
 	Headers    map[string]string
 	Body       []byte
 }
@@ -150,20 +154,21 @@
 	Status   scheduler.JobStatus
 }
 
-// ListRequest selects jobs: by name if Name is set, else all of the host's shards.
+// ListRequest selects jobs: the one with the name if Name is set, otherwise all jobs of
+// the shards that the host owns.
 type ListRequest struct {
 	Name  string
 	Limit int
 }
 
-// ExplainAnswer holds decision records as lines of text.
+// ExplainAnswer holds decision records, each as a line of text.
 type ExplainAnswer struct {
 	Host    string
 	Records []string
 }
 
-// Peer sends messages to one other entry host. An error of type *NotSentError means
-// that the message did not leave this host; any other error that it may have arrived.
+// Peer calls methods of one other entry host. An error of type *NotSentError means that
+// the message did not leave this host. After any other error the peer may have received it.
 type Peer interface {
 	Exchange(ctx context.Context, m Heartbeat) (HeartbeatAnswer, error)
 	Forward(ctx context.Context, m ForwardRequest) (ForwardAnswer, error)
@@ -175,7 +180,7 @@
 	Drain(ctx context.Context, host string, undo bool) error
 }
 
-// Handler serves the messages of other entry hosts. Its methods mirror Peer.
+// Handler serves calls of other entry hosts.
 type Handler interface {
 	Peer
 }
--- a/internal/messenger/server.go
+++ b/internal/messenger/server.go
@@ -19,7 +19,7 @@
 	"peridotpitch/internal/scheduler"
 )
 
-// Methods, as they are named in the protocol.
+// Names of the methods in the protocol.
 const (
 	methodExchange           = "Exchange"
 	methodForward            = "Forward"
@@ -31,8 +31,8 @@
 	methodDrain              = "Drain"
 )
 
-// Bodies of the messages that message.go does not name. They are structs, so that
-// fields can be added.
+// Messages that are not part of the Peer interface. They are structs, so that fields can
+// be added.
 type (
 	cancelRequest  struct{ Name string }
 	explainRequest struct{ ID string }
@@ -40,47 +40,50 @@
 		Host string
 		Undo bool
 	}
-	jobList struct{ Jobs []scheduler.JobStatus }
-	nothing struct{}
+	jobList      struct{ Jobs []scheduler.JobStatus }
+	emptyMessage struct{}
 )
 
-// Method serves one call.
+// Method serves one call of a remote procedure.
 type Method func(ctx context.Context, s drpc.Stream) error
 
-// methods maps each method of a Handler to what serves it.
-var methods = map[string]func(Handler) Method{
-	// Heartbeat with claims and slot demand; the answer has promises and grants.
-	methodExchange: serve(Handler.Exchange),
-	// One caller's request and its final outcome.
-	methodForward: serve(Handler.Forward),
-	// Submission of a job to the owner of its home shard.
-	methodSubmitJob: serve(Handler.SubmitJob),
-	methodCancelJob: serve(func(h Handler, ctx context.Context, m cancelRequest) (JobAnswer, error) {
+// handlerMethods maps the name of each method of a Handler to a function that binds the
+// method to the handler.
+var handlerMethods = map[string]func(Handler) Method{
+	// Heartbeat with shard claims and slot demand, answered with promises and slot grants.
+	methodExchange: handlerMethod(Handler.Exchange),
+	// A caller's request, answered with its final outcome.
+	methodForward: handlerMethod(Handler.Forward),
+	// Submission of a job, sent to the owner of its home shard.
+	methodSubmitJob: handlerMethod(Handler.SubmitJob),
+	methodCancelJob: handlerMethod(func(h Handler, ctx context.Context, m cancelRequest) (JobAnswer, error) {
 		return h.CancelJob(ctx, m.Name)
 	}),
-	methodListJobs: serve(func(h Handler, ctx context.Context, m ListRequest) (jobList, error) {
+	methodListJobs: handlerMethod(func(h Handler, ctx context.Context, m ListRequest) (jobList, error) {
 		js, err := h.ListJobs(ctx, m)
 		return jobList{js}, err
 	}),
-	// The signed configuration in effect.
-	methodFetchConfiguration: serve(func(h Handler, ctx context.Context, _ nothing) (configurator.Record, error) {
+	// Request for the signed configuration in effect.
+	methodFetchConfiguration: handlerMethod(func(h Handler, ctx context.Context, _ emptyMessage) (configurator.Record, error) {
 		return h.FetchConfiguration(ctx)
 	}),
-	methodExplain: serve(func(h Handler, ctx context.Context, m explainRequest) (ExplainAnswer, error) {
+	methodExplain: handlerMethod(func(h Handler, ctx context.Context, m explainRequest) (ExplainAnswer, error) {
 		return h.Explain(ctx, m.ID)
 	}),
-	methodDrain: serve(func(h Handler, ctx context.Context, m drainRequest) (nothing, error) {
-		return nothing{}, h.Drain(ctx, m.Host, m.Undo)
+	methodDrain: handlerMethod(func(h Handler, ctx context.Context, m drainRequest) (emptyMessage, error) {
+		return emptyMessage{}, h.Drain(ctx, m.Host, m.Undo)
 	}),
 }
 
-func serve[In, Out any](f func(Handler, context.Context, In) (Out, error)) func(Handler) Method {
+// handlerMethod returns a function that binds f to a Handler.
+func handlerMethod[In, Out any](f func(Handler, context.Context, In) (Out, error)) func(Handler) Method {
 	return func(h Handler) Method {
 		return NewMethod(func(ctx context.Context, in In) (Out, error) { return f(h, ctx, in) })
 	}
 }
 
-// NewMethod returns a Method that receives one message, calls f and sends its answer.
+// NewMethod returns a Method that receives one message, passes it to f and sends the
+// result.
 func NewMethod[In, Out any](f func(context.Context, In) (Out, error)) Method {
 	return func(ctx context.Context, s drpc.Stream) error {
 		var in In
@@ -95,52 +98,52 @@
 	}
 }
 
-// Codes of errors that a handler's host sends instead of an answer.
+// Error codes that a server sends instead of an answer.
 const (
-	codeHandler = 1 // the handler returned an error
-	codeUnknown = 2 // unknown method
+	codeHandlerFailed = 1 // the handler returned an error
+	codeUnknownMethod = 2
 )
 
-// readerSlack is added to MaxMessageSize for the bound of drpc's reader, which counts
-// the headers of frames too.
-const readerSlack = 64 << 10 // bytes
+// frameOverheadBytes is added to MaxMessageBytes for the buffer limit of drpc's reader,
+// which includes the headers of frames.
+const frameOverheadBytes = 64 << 10
 
 func managerOptions() drpcmanager.Options {
-	return drpcmanager.Options{Reader: drpcwire.ReaderOptions{MaximumBufferSize: MaxMessageSize + readerSlack}}
+	return drpcmanager.Options{Reader: drpcwire.ReaderOptions{MaximumBufferSize: MaxMessageBytes + frameOverheadBytes}}
 }
 
-// Server serves methods to other entry hosts.
+// Server serves the calls of other entry hosts.
 type Server struct {
 	methods map[string]Method
 	log     *slog.Logger
 	cancel  context.CancelFunc
-	ended   chan struct{}
+	stopped chan struct{}
 
 	mu       sync.Mutex // guards inFlight and idle
 	inFlight int
-	idle     chan struct{} // closed when inFlight reaches 0; nil while nobody waits
+	idle     chan struct{} // closed when inFlight reaches 0; nil unless Shutdown waits
 }
 
-// NewServer serves h on l until the returned function is called, which closes the
-// listener and all connections at once; call Shutdown before it to let calls end.
+// NewServer serves h on l until the returned function is called. That function closes the
+// listener and all connections at once; call Shutdown first to let running calls finish.
 func NewServer(l net.Listener, h Handler, log *slog.Logger) (*Server, func()) {
-	bound := make(map[string]Method, len(methods))
-	for name, bind := range methods {
+	bound := make(map[string]Method, len(handlerMethods))
+	for name, bind := range handlerMethods {
 		bound[name] = bind(h)
 	}
 	return ServeMethods(l, bound, log)
 }
 
-// ServeMethods is like NewServer for a table of methods.
-func ServeMethods(l net.Listener, table map[string]Method, log *slog.Logger) (*Server, func()) {
+// ServeMethods is like NewServer, but serves methods by their names instead of a Handler.
+func ServeMethods(l net.Listener, methods map[string]Method, log *slog.Logger) (*Server, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &Server{methods: table, log: log, cancel: cancel, ended: make(chan struct{})}
+	s := &Server{methods: methods, log: log, cancel: cancel, stopped: make(chan struct{})}
 	d := drpcserver.NewWithOptions(s, drpcserver.Options{
 		Manager: managerOptions(),
 		Log:     func(err error) { log.Debug("connection of an entry host ended", "Cause", err) },
 	})
 	go func() {
-		defer close(s.ended)
+		defer close(s.stopped)
 		if err := d.Serve(ctx, l); err != nil {
 			log.Error("server for entry hosts stopped", "Address", l.Addr(), "Cause", err)
 		}
@@ -150,11 +153,11 @@
 
 func (s *Server) close() {
 	s.cancel()
-	<-s.ended
+	<-s.stopped
 }
 
-// Shutdown waits until no call is in flight or ctx ends. Peers can still start calls;
-// the handler refuses what it must not take while it is leaving.
+// Shutdown waits until no call is in flight or ctx ends. Peers can still start calls: the
+// handler must refuse those that it does not accept while its host is leaving.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.mu.Lock()
 	if s.inFlight == 0 {
@@ -170,17 +173,17 @@
 	case <-idle:
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("calls of other entry hosts were in flight at the end of the wait: %w", ctx.Err())
+		return fmt.Errorf("calls of other entry hosts are still in flight: %w", ctx.Err())
 	}
 }
 
-func (s *Server) begin() {
+func (s *Server) beginCall() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight++
 }
 
-func (s *Server) end() {
+func (s *Server) endCall() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight--
@@ -192,11 +195,11 @@
 
 // HandleRPC implements drpc.Handler.
 func (s *Server) HandleRPC(stream drpc.Stream, rpc string) error {
-	s.begin()
-	defer s.end()
+	s.beginCall()
+	defer s.endCall()
 	f, ok := s.methods[rpc]
 	if !ok {
-		return drpcerr.WithCode(fmt.Errorf("unknown method %q", rpc), codeUnknown)
+		return drpcerr.WithCode(fmt.Errorf("unknown method %q", rpc), codeUnknownMethod)
 	}
 	start := time.Now()
 	err := f(stream.Context(), stream)
@@ -205,7 +208,7 @@
 		if errors.Is(err, context.Canceled) {
 			return err
 		}
-		return drpcerr.WithCode(err, codeHandler)
+		return drpcerr.WithCode(err, codeHandlerFailed)
 	}
 	return nil
 }
