--- a/internal/messenger/client.go
+++ b/internal/messenger/client.go
@@ -31,8 +31,8 @@
 	forwardTimeoutMargin = 250 * time.Millisecond
 	// minDialBackoff is the delay after the first failed dial.
 	minDialBackoff = 50 * time.Millisecond
-	// maxDialBackoff equals the heartbeat interval, so that a peer that is reachable
-	// again is dialed by the next heartbeat or the one after it.
+	// maxDialBackoff equals the heartbeat interval inside a failure domain, so that a
+	// peer that is reachable again is dialed by the next heartbeat or the one after it.
 	maxDialBackoff = 500 * time.Millisecond
 	// maxIdleTime is how long a surplus connection may stay unused before it is closed.
 	maxIdleTime = 30 * time.Second
@@ -91,7 +91,7 @@
 type Client struct {
 	address      netip.AddrPort
 	options      Options
-	backoff      *dialBackoff
+	dialBackoff  *dialBackoff
 	exchangePool *connectionPool
 	forwardPool  *connectionPool
 	otherPool    *connectionPool
@@ -117,8 +117,8 @@
 	if o.Rand == nil {
 		o.Rand = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
-	b := &dialBackoff{rand: o.Rand}
-	c := &Client{address: address, options: o, backoff: b}
+	b := &dialBackoff{random: o.Rand}
+	c := &Client{address: address, options: o, dialBackoff: b}
 	c.exchangePool, c.forwardPool, c.otherPool = c.newPool(1), c.newPool(o.MaxConcurrentForwards), c.newPool(1)
 	return c, func() {
 		for _, p := range []*connectionPool{c.exchangePool, c.forwardPool, c.otherPool} {
@@ -308,8 +308,9 @@
 	return nil, nil
 }
 
-// release returns a connection to the pool if keep is set, and closes it otherwise. It
-// also closes connections that have been idle for longer than maxIdleTime.
+// release returns a connection to the pool if keep is set, that is, if its call ended
+// cleanly, and closes it otherwise. It also closes connections that have been idle for
+// longer than maxIdleTime.
 func (p *connectionPool) release(cn *connection, keep bool) {
 	now := time.Now()
 	cn.lastUse = now
@@ -354,7 +355,7 @@
 // dial connects to the peer. After a failed attempt it fails without dialing until the
 // backoff has passed.
 func (c *Client) dial(ctx context.Context) (*countingConn, error) {
-	if err := c.backoff.check(time.Now()); err != nil {
+	if err := c.dialBackoff.check(time.Now()); err != nil {
 		return nil, err
 	}
 	d := net.Dialer{Timeout: c.options.DialTimeout}
@@ -362,7 +363,7 @@
 	if err != nil && ctx.Err() == context.Canceled {
 		return nil, err // canceled by the caller, so no failure of the peer
 	}
-	c.backoff.record(err, time.Now())
+	c.dialBackoff.record(err, time.Now())
 	if err != nil {
 		return nil, err
 	}
@@ -372,7 +373,7 @@
 // dialBackoff delays further attempts to connect to one peer after failed ones.
 type dialBackoff struct {
 	mu         sync.Mutex // guards the fields below
-	rand       *rand.Rand
+	random     *rand.Rand
 	delay      time.Duration // without jitter; 0 after a success
 	nextDialAt time.Time
 	lastError  error
@@ -398,7 +399,7 @@
 		return
 	}
 	b.delay = min(max(minDialBackoff, 2*b.delay), maxDialBackoff)
-	b.nextDialAt = now.Add(b.delay/2 + time.Duration(b.rand.Int64N(int64(b.delay/2)+1)))
+	b.nextDialAt = now.Add(b.delay/2 + time.Duration(b.random.Int64N(int64(b.delay/2)+1)))
 	b.lastError = err
 }
 
--- a/internal/messenger/client_test.go
+++ b/internal/messenger/client_test.go
@@ -229,7 +229,7 @@
 	_, err := c.Exchange(t.Context(), Heartbeat{})
 	is.NoErr(err)
 	stop()
-	for c.backoff.check(time.Now()) == nil {
+	for c.dialBackoff.check(time.Now()) == nil {
 		_, err = c.Exchange(t.Context(), Heartbeat{})
 		is.True(err != nil)
 	}
@@ -251,12 +251,12 @@
 	defer closeAll()
 	now := time.Unix(0, 0)
 	for range 10 {
-		c.backoff.record(io.EOF, now)
-		is.True(c.backoff.nextDialAt.Sub(now) <= maxDialBackoff)
-		is.True(c.backoff.nextDialAt.Sub(now) >= minDialBackoff/2)
+		c.dialBackoff.record(io.EOF, now)
+		is.True(c.dialBackoff.nextDialAt.Sub(now) <= maxDialBackoff)
+		is.True(c.dialBackoff.nextDialAt.Sub(now) >= minDialBackoff/2)
 	}
-	c.backoff.record(nil, now)
-	is.NoErr(c.backoff.check(now))
+	c.dialBackoff.record(nil, now)
+	is.NoErr(c.dialBackoff.check(now))
 }
 
 // Guards against a shutdown that interrupts a forwarded request.
--- a/internal/messenger/server.go
+++ b/internal/messenger/server.go
@@ -135,9 +135,9 @@
 }
 
 // ServeMethods is like NewServer, but serves methods by their names instead of a Handler.
-func ServeMethods(l net.Listener, methods map[string]Method, log *slog.Logger) (*Server, func()) {
+func ServeMethods(l net.Listener, byName map[string]Method, log *slog.Logger) (*Server, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &Server{methods: methods, log: log, cancel: cancel, stopped: make(chan struct{})}
+	s := &Server{methods: byName, log: log, cancel: cancel, stopped: make(chan struct{})}
 	d := drpcserver.NewWithOptions(s, drpcserver.Options{
 		Manager: managerOptions(),
 		Log:     func(err error) { log.Debug("connection of an entry host ended", "Cause", err) },
