--- a/internal/forwarder/example_test.go
+++ b/internal/forwarder/example_test.go
@@ -8,7 +8,7 @@
 	"peridotpitch/internal/forwarder"
 )
 
-// A request to an address where nothing listens was not run.
+// If no server listens at the address, the request does not run.
 func ExampleForwarder_Send() {
 	f, stop := forwarder.New()
 	defer stop()
--- a/internal/forwarder/exchange.go
+++ b/internal/forwarder/exchange.go
@@ -14,49 +14,51 @@
 	"github.com/valyala/fasthttp"
 )
 
-// exchangeKey is the key of a request's exchange among its user values.
-type exchangeKey struct{}
-
-// exchange is the state of one attempt.
-type exchange struct {
-	ctx     context.Context
-	client  *client
-	id      string
-	attempt string
-	written int // bytes of the request that the operating system took
+// attemptStateKey is the key of the attemptState among the user values of a fasthttp
+// request.
+type attemptStateKey struct{}
+
+// attemptState is the state of one attempt.
+type attemptState struct {
+	ctx            context.Context
+	instanceClient *instanceClient
+	id             string
+	number         string // number of the attempt, as sent
+	bytesWritten   int    // bytes of the request that the operating system accepted
 }
 
-// exchanger is the transport of every host client. Unlike fasthttp's own, it counts
-// written bytes, ends with a context, and rejects a response without Content-Length.
-type exchanger struct{}
+// transport is the transport of every fasthttp.HostClient. Unlike fasthttp's own, it
+// counts written bytes, stops when a context ends, and rejects a response without
+// Content-Length.
+type transport struct{}
 
-// errNoLength is returned for a response whose end only the closing of the connection
-// or a chunk could tell: a truncated body would look complete.
-var errNoLength = errors.New("the response has no Content-Length")
+// errNoContentLength is returned for a response whose end would be marked only by a chunk
+// or by the closing of the connection, so that a truncated body could look complete.
+var errNoContentLength = errors.New("the response has no Content-Length")
 
-// errMismatch is returned for a response to another request or attempt. Its connection
-// is closed, because more such responses may follow.
-var errMismatch = errors.New("the response does not echo the request's identity and attempt")
+// errEchoMismatch is returned for a response to another request or attempt. The connection
+// is closed, because more such responses may follow on it.
+var errEchoMismatch = errors.New("the response does not echo the request's identity and attempt")
 
-// RoundTrip implements fasthttp.RoundTripper. It never asks for a retry.
-func (exchanger) RoundTrip(hc *fasthttp.HostClient, req *fasthttp.Request, resp *fasthttp.Response) (bool, error) {
-	e := req.UserValue(exchangeKey{}).(*exchange)
+// RoundTrip implements fasthttp.RoundTripper. It never requests a retry.
+func (transport) RoundTrip(hc *fasthttp.HostClient, req *fasthttp.Request, resp *fasthttp.Response) (bool, error) {
+	e := req.UserValue(attemptStateKey{}).(*attemptState)
 	for {
 		cc, err := hc.AcquireConn(0, false)
 		if err != nil {
 			return false, err
 		}
 		conn := cc.Conn().(*connection)
-		if !conn.usable() {
+		if !conn.idleAndOpen() {
 			hc.CloseConn(cc)
 			continue
 		}
-		if err = conn.open(e.ctx, hc.Addr); err != nil {
+		if err = conn.connect(e.ctx, hc.Addr); err != nil {
 			hc.CloseConn(cc)
 			return false, err
 		}
-		whole, err := conn.exchange(e, hc, req, resp)
-		if whole && err == nil && int64(hc.ConnsCount()) <= e.client.connections.Load() {
+		reusable, err := conn.roundTrip(e, hc, req, resp)
+		if reusable && err == nil && int64(hc.ConnsCount()) <= e.instanceClient.maxConnections.Load() {
 			hc.ReleaseConn(cc)
 		} else {
 			hc.CloseConn(cc)
@@ -65,18 +67,19 @@
 	}
 }
 
-// connection is a TCP connection that is opened by the first exchange on it, so that
-// opening it ends with that exchange's context.
+// connection is a TCP connection that is opened by the first request on it, so that the
+// context of that request also bounds the opening.
 type connection struct {
 	net.Conn
 	mutex  sync.Mutex
 	closed bool
 }
 
-// dialLater implements fasthttp.DialFuncWithTimeout.
-func dialLater(string, time.Duration) (net.Conn, error) { return &connection{}, nil }
+// newUnopenedConnection implements fasthttp.DialFuncWithTimeout. The connection is opened
+// by connect.
+func newUnopenedConnection(string, time.Duration) (net.Conn, error) { return &connection{}, nil }
 
-func (c *connection) open(ctx context.Context, address string) error {
+func (c *connection) connect(ctx context.Context, address string) error {
 	if c.Conn != nil {
 		return nil
 	}
@@ -100,10 +103,10 @@
 	return c.Conn.Close()
 }
 
-// usable reports whether an idle connection is still open and has no unread bytes. A
-// backend server that closed it, or that sent something unasked, would otherwise turn
-// the next request's outcome into unknown.
-func (c *connection) usable() bool {
+// idleAndOpen reports whether the connection can take a request: it is not opened yet, or
+// is open and has no unread bytes. If the backend server has closed it, or has sent bytes
+// without a request, the next request on it would end with the outcome Unknown.
+func (c *connection) idleAndOpen() bool {
 	if c.Conn == nil {
 		return true
 	}
@@ -125,46 +128,46 @@
 	return err == nil && n <= 0 && errors.Is(readErr, syscall.EAGAIN)
 }
 
-// exchange writes the request and reads the response. Whole is true if the connection
-// can be used again.
-func (c *connection) exchange(e *exchange, hc *fasthttp.HostClient, req *fasthttp.Request, resp *fasthttp.Response) (whole bool, err error) {
+// roundTrip writes the request and reads the response. It reports whether the connection
+// can be reused.
+func (c *connection) roundTrip(e *attemptState, hc *fasthttp.HostClient, req *fasthttp.Request, resp *fasthttp.Response) (reusable bool, err error) {
 	stop := context.AfterFunc(e.ctx, func() { _ = c.Close() })
 	defer func() {
 		if !stop() {
-			whole = false
+			reusable = false
 		}
 		if err != nil && e.ctx.Err() != nil {
 			err = fmt.Errorf("given up: %w", context.Cause(e.ctx))
 		}
 	}()
-	// A context that ended just before must not leave a part of the request behind.
+	// If the context has already ended, no part of the request must be written.
 	if err = e.ctx.Err(); err != nil {
 		return false, err
 	}
-	bw := hc.AcquireWriter(countingWriter{c.Conn, &e.written})
+	bw := hc.AcquireWriter(countingWriter{c.Conn, &e.bytesWritten})
 	err = req.Write(bw)
 	if err == nil {
 		err = bw.Flush()
 	}
-	bw.Reset(io.Discard) // drop the reference to the connection and a sticky error
+	bw.Reset(io.Discard) // drop the reference to the connection, and the error that the writer keeps
 	hc.ReleaseWriter(bw)
 	if err != nil {
 		return false, fmt.Errorf("write: %w", err)
 	}
-	whole, err = c.read(hc, req, resp)
-	if err == nil && (!echoes(resp, headerRequest, e.id) || !echoes(resp, headerAttempt, e.attempt)) {
-		err = errMismatch
+	reusable, err = c.readResponse(hc, req, resp)
+	if err == nil && (!echoes(resp, headerRequest, e.id) || !echoes(resp, headerAttempt, e.number)) {
+		err = errEchoMismatch
 	}
-	return whole, err
+	return reusable, err
 }
 
-// echoes reports whether the response has the header exactly once, with the value.
+// echoes reports whether the response has the header exactly once and with this value.
 func echoes(resp *fasthttp.Response, name, value string) bool {
 	values := resp.Header.PeekAll(name)
 	return len(values) == 1 && string(values[0]) == value
 }
 
-func (c *connection) read(hc *fasthttp.HostClient, req *fasthttp.Request, resp *fasthttp.Response) (bool, error) {
+func (c *connection) readResponse(hc *fasthttp.HostClient, req *fasthttp.Request, resp *fasthttp.Response) (bool, error) {
 	br := hc.AcquireReader(c.Conn)
 	defer func() {
 		br.Reset(nil)
@@ -182,38 +185,38 @@
 	if resp.StatusCode() == fasthttp.StatusSwitchingProtocols {
 		return false, errors.New("the backend server switched protocols")
 	}
-	if !resp.SkipBody && !bodyless(resp.StatusCode()) {
+	if !resp.SkipBody && !hasNoBody(resp.StatusCode()) {
 		if resp.Header.ContentLength() < 0 {
-			return false, errNoLength
+			return false, errNoContentLength
 		}
-		if err := resp.ReadBody(br, maxResponseSize); err != nil {
+		if err := resp.ReadBody(br, maxResponseBodyBytes); err != nil {
 			return false, fmt.Errorf("read the response body: %w", err)
 		}
 	}
-	// Bytes after the response belong to no request on this connection.
+	// Bytes after the response belong to no request, so the connection is not reused.
 	return br.Buffered() == 0 && !resp.ConnectionClose(), nil
 }
 
-// bodyless reports whether a response with the status never has a body.
-func bodyless(status int) bool {
+// hasNoBody reports whether responses with this status never have a body.
+func hasNoBody(status int) bool {
 	return status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified
 }
 
-// countingWriter counts the bytes that the connection took.
+// countingWriter counts the bytes that the connection accepted.
 type countingWriter struct {
 	net.Conn
-	written *int
+	bytesWritten *int
 }
 
 func (w countingWriter) Write(p []byte) (int, error) {
 	n, err := w.Conn.Write(p)
-	*w.written += n
+	*w.bytesWritten += n
 	return n, err
 }
 
-// hopHeaders concern one connection only and are not passed on, nor is Content-Length,
-// which is written anew.
-var hopHeaders = map[string]bool{
+// hopByHopHeaders are not forwarded, because they concern a single connection.
+// Content-Length and Host are among them, because they are set for each request.
+var hopByHopHeaders = map[string]bool{
 	"connection":          true,
 	"content-length":      true,
 	"expect":              true,
@@ -228,8 +231,9 @@
 	"upgrade":             true,
 }
 
-// reserved reports whether a header is written by this project and never passed on.
-func reserved(name string) bool {
+// mustNotForward reports whether a header is hop-by-hop or part of the protocol of entry
+// hosts, and so is not copied between the two sides.
+func mustNotForward(name string) bool {
 	name = strings.ToLower(name)
-	return hopHeaders[name] || strings.HasPrefix(name, "peridot-")
+	return hopByHopHeaders[name] || strings.HasPrefix(name, "peridot-")
 }
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -16,20 +16,19 @@
 const (
 	headerRequest   = "Peridot-Request"
 	headerAttempt   = "Peridot-Attempt"
-	headerDeadline  = "Peridot-Deadline" // milliseconds left
+	headerDeadline  = "Peridot-Deadline" // remaining time in milliseconds
 	headerSlotsUsed = "Peridot-Slots-Used"
 	headerNotRun    = "Peridot-Not-Run"
 )
 
 const (
-	// maxResponseSize bounds a response body, in bytes. It leaves room for the
-	// envelope in a message to another entry host (4 MB).
-	maxResponseSize = 3 << 20
-	// maxIdle is how long an unused connection stays open. It is shorter than the
-	// usual idle timeout of an HTTP server (60 s or more), so that this side closes first.
-	maxIdle = 30 * time.Second
-	// readBufferSize bounds a response header, in bytes.
-	readBufferSize = 16 << 10
+	// maxResponseBodyBytes leaves room for the other fields of a message to another entry
+	// host, which has at most 4 MiB.
+	maxResponseBodyBytes = 3 << 20
+	// maxIdleTime is how long an unused connection stays open. It is shorter than the idle
+	// timeout of usual HTTP servers (60 s or more), so that this side closes first.
+	maxIdleTime            = 30 * time.Second
+	maxResponseHeaderBytes = 16 << 10
 )
 
 // Header is one HTTP header field.
@@ -41,7 +40,7 @@
 	Attempt     int
 	Instance    string
 	Address     string // ip:port
-	Connections int    // bound of open connections to the instance
+	Connections int    // maximum of open connections to the instance
 	Method      string
 	Path        string // with the query string
 	Headers     []Header
@@ -49,7 +48,7 @@
 	Deadline    time.Time
 }
 
-// Result is the end of an attempt: Answered, NotRun or Unknown.
+// Result is the result of an attempt: Answered, NotRun or Unknown.
 type Result interface{ result() }
 
 // Answered is a complete response that echoed the request's identity and attempt.
@@ -61,15 +60,15 @@
 	Latency   time.Duration
 }
 
-// NotRun says that the request did not run: no byte was written, or the backend server
-// said so.
+// NotRun reports that the request did not run: no byte was written, or the backend server
+// rejected it.
 type NotRun struct {
 	Reason    string
 	Rejected  bool // the backend server rejected the request; false if nothing was written
 	SlotsUsed int  // negative if the backend server sent none
 }
 
-// Unknown says that the request may have run.
+// Unknown reports that the request may have run.
 type Unknown struct {
 	Reason string
 }
@@ -78,24 +77,25 @@
 func (NotRun) result()   {}
 func (Unknown) result()  {}
 
-// Forwarder holds the connections to all instances. It is safe for concurrent use.
+// Forwarder sends requests and keeps the connections to all instances. It is safe for
+// concurrent use.
 type Forwarder struct {
 	mutex     sync.Mutex
-	instances map[string]*client
+	instances map[string]*instanceClient
 	closed    bool
 }
 
-// client is the host client of one instance at one address.
-type client struct {
-	address     string
-	connections atomic.Int64 // bound; 0 if retired
-	host        *fasthttp.HostClient
+// instanceClient is the HTTP client of one instance at one address.
+type instanceClient struct {
+	address        string
+	maxConnections atomic.Int64 // 0 after retire
+	hostClient     *fasthttp.HostClient
 }
 
-// New returns a forwarder and a function that closes its idle connections and refuses
-// further requests. Requests in flight end normally.
+// New returns a forwarder and a function that closes it: idle connections are closed,
+// further requests are refused, and requests in flight finish normally.
 func New() (*Forwarder, func()) {
-	f := &Forwarder{instances: make(map[string]*client)}
+	f := &Forwarder{instances: make(map[string]*instanceClient)}
 	return f, f.close
 }
 
@@ -103,17 +103,18 @@
 	f.mutex.Lock()
 	f.closed = true
 	clients := f.instances
-	f.instances = make(map[string]*client)
+	f.instances = make(map[string]*instanceClient)
 	f.mutex.Unlock()
 	for _, c := range clients {
 		c.retire()
 	}
 }
 
-// Retain sets the bound of connections of each listed instance, and closes the idle
-// connections to all others.
+// Retain sets the maximum number of connections to each listed instance and removes all
+// other instances. Idle connections to removed instances, and to instances whose maximum
+// became smaller, are closed.
 func (f *Forwarder) Retain(connections map[string]int) {
-	var retired, shrunk []*client
+	var retired, reduced []*instanceClient
 	f.mutex.Lock()
 	for name, c := range f.instances {
 		n, listed := connections[name]
@@ -121,21 +122,22 @@
 		case !listed:
 			delete(f.instances, name)
 			retired = append(retired, c)
-		case n > 0 && c.bound(n):
-			shrunk = append(shrunk, c)
+		case n > 0 && c.setMaxConnections(n):
+			reduced = append(reduced, c)
 		}
 	}
 	f.mutex.Unlock()
 	for _, c := range retired {
 		c.retire()
 	}
-	for _, c := range shrunk {
-		c.host.CloseIdleConnections()
+	for _, c := range reduced {
+		c.hostClient.CloseIdleConnections()
 	}
 }
 
-// client returns the host client of the request's instance. Nil means closed.
-func (f *Forwarder) client(q Request) *client {
+// instanceClient returns the client of the request's instance, or nil if the forwarder is
+// closed.
+func (f *Forwarder) instanceClient(q Request) *instanceClient {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if f.closed {
@@ -143,65 +145,67 @@
 	}
 	c := f.instances[q.Instance]
 	if c != nil && c.address != q.Address {
-		// The instance was started again elsewhere. fasthttp's closing of idle
-		// connections takes no lock of this package.
+		// The instance has been restarted at another address. Closing its idle
+		// connections does not take Forwarder.mutex, which is held here.
 		c.retire()
 		c = nil
 	}
 	if c == nil {
-		c = newClient(q)
+		c = newInstanceClient(q)
 		f.instances[q.Instance] = c
 	}
 	if q.Connections > 0 {
-		c.bound(q.Connections)
+		c.setMaxConnections(q.Connections)
 	}
 	return c
 }
 
-// bound sets the bound of connections and reports whether it became smaller.
-func (c *client) bound(connections int) (smaller bool) {
-	old := c.connections.Swap(int64(connections))
-	if old != int64(connections) {
-		c.host.SetMaxConns(connections)
+// setMaxConnections sets the maximum number of connections and reports whether it became
+// smaller.
+func (c *instanceClient) setMaxConnections(maxConnections int) (reduced bool) {
+	previous := c.maxConnections.Swap(int64(maxConnections))
+	if previous != int64(maxConnections) {
+		c.hostClient.SetMaxConns(maxConnections)
 	}
-	return int64(connections) < old
+	return int64(maxConnections) < previous
 }
 
-func newClient(q Request) *client {
-	c := &client{
+func newInstanceClient(q Request) *instanceClient {
+	c := &instanceClient{
 		address: q.Address,
-		host: &fasthttp.HostClient{
+		hostClient: &fasthttp.HostClient{
 			Addr:                     q.Address,
-			Transport:                exchanger{},
-			DialTimeout:              dialLater,
+			Transport:                transport{},
+			DialTimeout:              newUnopenedConnection,
 			MaxConns:                 max(1, q.Connections),
-			MaxIdleConnDuration:      maxIdle,
+			MaxIdleConnDuration:      maxIdleTime,
 			ConnPoolStrategy:         fasthttp.LIFO,
-			ReadBufferSize:           readBufferSize,
+			ReadBufferSize:           maxResponseHeaderBytes,
 			NoDefaultUserAgentHeader: true,
 			DisablePathNormalizing:   true,
-			// Retries are decided in the dispatcher only. The transport also never
-			// asks for one.
+			// Only the dispatcher decides on retries. The transport never requests one
+			// either.
 			MaxIdemponentCallAttempts: 1,
 			RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) {
 				return false, false
 			},
 		},
 	}
-	c.connections.Store(int64(max(1, q.Connections)))
+	c.maxConnections.Store(int64(max(1, q.Connections)))
 	return c
 }
 
-// retire closes idle connections. A connection in use is closed when its exchange ends.
-func (c *client) retire() {
-	c.connections.Store(0)
-	c.host.CloseIdleConnections()
+// retire closes the idle connections. A connection in use is closed when its request
+// ends.
+func (c *instanceClient) retire() {
+	c.maxConnections.Store(0)
+	c.hostClient.CloseIdleConnections()
 }
 
-// Send makes one attempt. It returns when the response is complete, when ctx ends or
-// at the deadline, whichever is first.
+// Send makes one attempt. It returns when the response is complete, when ctx ends or at
+// the request's deadline, whichever comes first.
 func (f *Forwarder) Send(ctx context.Context, q Request) Result {
-	c := f.client(q)
+	c := f.instanceClient(q)
 	if c == nil {
 		return NotRun{Reason: "the forwarder is closed", SlotsUsed: -1}
 	}
@@ -216,27 +220,27 @@
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	fill(req, q)
+	fillRequest(req, q)
 	resp.Header.SetNoDefaultContentType(true)
-	e := &exchange{ctx: ctx, client: c, id: q.ID, attempt: strconv.Itoa(q.Attempt)}
-	req.SetUserValue(exchangeKey{}, e)
+	e := &attemptState{ctx: ctx, instanceClient: c, id: q.ID, number: strconv.Itoa(q.Attempt)}
+	req.SetUserValue(attemptStateKey{}, e)
 	started := time.Now()
-	if err := c.host.Do(req, resp); err != nil {
-		if e.written == 0 {
+	if err := c.hostClient.Do(req, resp); err != nil {
+		if e.bytesWritten == 0 {
 			return NotRun{Reason: "nothing was written: " + err.Error(), SlotsUsed: -1}
 		}
 		return Unknown{Reason: err.Error()}
 	}
-	return accept(resp, time.Since(started))
+	return newResult(resp, time.Since(started))
 }
 
-// fill writes the attempt into a request of fasthttp's pool.
-func fill(req *fasthttp.Request, q Request) {
+// fillRequest writes the attempt into a request from fasthttp's pool.
+func fillRequest(req *fasthttp.Request, q Request) {
 	req.Header.SetNoDefaultContentType(true)
 	req.SetRequestURI("http://" + q.Address + q.Path)
 	req.Header.SetMethod(q.Method)
 	for _, h := range q.Headers {
-		if !reserved(h.Name) {
+		if !mustNotForward(h.Name) {
 			req.Header.Add(h.Name, h.Value)
 		}
 	}
@@ -247,8 +251,9 @@
 	req.SetBody(q.Body)
 }
 
-// accept turns a complete response that echoed the attempt into a result.
-func accept(resp *fasthttp.Response, latency time.Duration) Result {
+// newResult returns the result for a complete response that echoed the request's identity
+// and attempt.
+func newResult(resp *fasthttp.Response, latency time.Duration) Result {
 	used := -1
 	if n, err := strconv.Atoi(string(resp.Header.Peek(headerSlotsUsed))); err == nil && n >= 0 {
 		used = n
@@ -264,7 +269,7 @@
 		Latency:   latency,
 	}
 	for k, v := range resp.Header.All() {
-		if name := string(k); !reserved(name) {
+		if name := string(k); !mustNotForward(name) {
 			a.Headers = append(a.Headers, Header{name, string(v)})
 		}
 	}
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -14,24 +14,25 @@
 	"github.com/matryer/is"
 )
 
-// backend is a raw TCP server that counts how often each request ran.
-type backend struct {
-	listener net.Listener
-	group    sync.WaitGroup
-	mutex    sync.Mutex
-	ran      map[string]int
-	opened   int
+// fakeBackend is an HTTP backend server on plain TCP that counts how often each request
+// ran and how many connections were opened.
+type fakeBackend struct {
+	listener          net.Listener
+	group             sync.WaitGroup
+	mutex             sync.Mutex
+	executionsByID    map[string]int
+	openedConnections int
 }
 
-// serve starts a backend server whose answer function gets each parsed request and the
-// connection. The connection is closed when the function returns false.
-func serve(t *testing.T, answer func(c net.Conn, q *http.Request) bool) *backend {
+// startBackend starts a backend server that passes each parsed request and its connection
+// to answer. The connection is closed when answer returns false.
+func startBackend(t *testing.T, answer func(c net.Conn, q *http.Request) bool) *fakeBackend {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &backend{listener: l, ran: make(map[string]int)}
+	b := &fakeBackend{listener: l, executionsByID: make(map[string]int)}
 	b.group.Go(func() {
 		for {
 			c, err := l.Accept()
@@ -39,16 +40,16 @@
 				return
 			}
 			b.mutex.Lock()
-			b.opened++
+			b.openedConnections++
 			b.mutex.Unlock()
-			b.group.Go(func() { b.connection(c, answer) })
+			b.group.Go(func() { b.serveConnection(c, answer) })
 		}
 	})
 	t.Cleanup(func() { _ = l.Close() })
 	return b
 }
 
-func (b *backend) connection(c net.Conn, answer func(c net.Conn, q *http.Request) bool) {
+func (b *fakeBackend) serveConnection(c net.Conn, answer func(c net.Conn, q *http.Request) bool) {
 	defer func() { _ = c.Close() }()
 	br := bufio.NewReader(c)
 	for {
@@ -57,7 +58,7 @@
 			return
 		}
 		b.mutex.Lock()
-		b.ran[q.Header.Get(headerRequest)]++
+		b.executionsByID[q.Header.Get(headerRequest)]++
 		b.mutex.Unlock()
 		if !answer(c, q) {
 			return
@@ -65,16 +66,16 @@
 	}
 }
 
-func (b *backend) executions(id string) int {
+func (b *fakeBackend) executions(id string) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.ran[id]
+	return b.executionsByID[id]
 }
 
-func (b *backend) connections() int {
+func (b *fakeBackend) connections() int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.opened
+	return b.openedConnections
 }
 
 // response formats a response that echoes the given identity and attempt.
@@ -90,22 +91,22 @@
 	return err == nil
 }
 
-func (b *backend) request(id, method string) Request {
+func (b *fakeBackend) request(id, method string) Request {
 	return Request{
 		ID: id, Attempt: 1, Instance: "quotes-1", Address: b.listener.Addr().String(), Connections: 4,
 		Method: method, Path: "/quote?size=3", Deadline: time.Now().Add(20 * time.Second),
 	}
 }
 
-func start(t *testing.T) *Forwarder {
+func newForwarder(t *testing.T) *Forwarder {
 	f, stop := New()
 	t.Cleanup(stop)
 	return f
 }
 
-// Guards against a response that is lost, truncated or meant for another request being
-// handed to a caller, and against a second execution after it.
-func TestBadResponseIsUnknownAndRunsOnce(t *testing.T) {
+// Guards against a lost, truncated or mismatched response that is returned to a caller, and
+// against a second execution of the request after it.
+func TestInvalidResponseIsUnknownAndRunsOnce(t *testing.T) {
 	write := func(format func(id, attempt string) string, keep bool) func(net.Conn, *http.Request) bool {
 		return func(c net.Conn, q *http.Request) bool {
 			if q.Header.Get(headerRequest) == "next" {
@@ -116,7 +117,7 @@
 		}
 	}
 	cases := map[string]func(net.Conn, *http.Request) bool{
-		"runs and closes": write(func(string, string) string { return "" }, false),
+		"no response": write(func(string, string) string { return "" }, false),
 		"another identity": write(func(_, attempt string) string {
 			return response(200, "other", attempt, "", "body of other")
 		}, true),
@@ -124,13 +125,13 @@
 		"identity twice": write(func(id, attempt string) string {
 			return response(200, id, attempt, "Peridot-Request: other\r\n", "x")
 		}, true),
-		"not run of another": write(func(_, attempt string) string {
+		"not run, for another request": write(func(_, attempt string) string {
 			return response(503, "other", attempt, "Peridot-Not-Run: true\r\n", "")
 		}, true),
-		"half the body": write(func(id, attempt string) string {
+		"truncated body": write(func(id, attempt string) string {
 			return response(200, id, attempt, "", "twelve bytes")[:len(response(200, id, attempt, "", "twelve bytes"))-6]
 		}, false),
-		"no length": write(func(id, attempt string) string {
+		"no Content-Length": write(func(id, attempt string) string {
 			return "HTTP/1.1 200 X\r\nPeridot-Request: " + id + "\r\nPeridot-Attempt: " + attempt + "\r\n\r\ncut"
 		}, false),
 		"chunked": write(func(id, attempt string) string {
@@ -142,7 +143,7 @@
 		for _, method := range []string{"GET", "POST"} {
 			t.Run(name+" "+method, func(t *testing.T) {
 				is := is.New(t)
-				b, f := serve(t, answer), start(t)
+				b, f := startBackend(t, answer), newForwarder(t)
 				result := f.Send(t.Context(), b.request("first", method))
 				_, unknown := result.(Unknown)
 				is.True(unknown)                   // the request may have run
@@ -156,19 +157,19 @@
 	}
 }
 
-// Guards against a late answer reaching the next request on the same connection, and
-// against a given-up request waiting for the backend server.
-func TestAbandonedRequestLeavesNoConnectionBehind(t *testing.T) {
+// Guards against a late response that is taken as the answer to the next request on the
+// same connection, and against a canceled request that still waits for the backend server.
+func TestConnectionOfCanceledRequestIsNotReused(t *testing.T) {
 	is := is.New(t)
 	arrived, answer := make(chan struct{}), make(chan struct{})
-	b := serve(t, func(c net.Conn, q *http.Request) bool {
+	b := startBackend(t, func(c net.Conn, q *http.Request) bool {
 		if q.Header.Get(headerRequest) == "late" {
 			close(arrived)
 			<-answer
 		}
 		return echo(c, q)
 	})
-	f := start(t)
+	f := newForwarder(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
 		<-arrived
@@ -181,36 +182,36 @@
 	is.True(answered)
 	is.Equal(string(next.Body), "body of next")
 	is.Equal(b.executions("late"), 1)
-	is.Equal(b.connections(), 2) // the connection of the abandoned request was not used again
+	is.Equal(b.connections(), 2) // the connection of the canceled request was not reused
 }
 
-// Guards against a duplicate answer being read as the answer to the next request,
-// whether it arrives with the first one or while the connection is idle.
-func TestDuplicateAnswer(t *testing.T) {
+// Guards against a duplicate response that is taken as the answer to the next request. The
+// duplicate arrives together with the first response, or later on the idle connection.
+func TestDuplicateResponseIsDiscarded(t *testing.T) {
 	for _, delayed := range []bool{false, true} {
 		t.Run(fmt.Sprint("delayed ", delayed), func(t *testing.T) {
 			is := is.New(t)
-			again := make(chan struct{})
-			b := serve(t, func(c net.Conn, q *http.Request) bool {
+			sendDuplicate := make(chan struct{})
+			b := startBackend(t, func(c net.Conn, q *http.Request) bool {
 				if q.Header.Get(headerRequest) != "first" {
 					return echo(c, q)
 				}
-				one := response(200, "first", "1", "", "body of first")
+				single := response(200, "first", "1", "", "body of first")
 				if !delayed {
-					_, err := c.Write([]byte(one + one))
+					_, err := c.Write([]byte(single + single))
 					return err == nil
 				}
 				echo(c, q)
-				<-again
+				<-sendDuplicate
 				return echo(c, q)
 			})
-			f := start(t)
+			f := newForwarder(t)
 			first, answered := f.Send(t.Context(), b.request("first", "POST")).(Answered)
 			is.True(answered)
 			is.Equal(string(first.Body), "body of first")
-			close(again)
+			close(sendDuplicate)
 			if delayed {
-				waitUnusable(t, f)
+				waitForIdleConnectionEvent(t, f)
 			}
 			next, answered := f.Send(t.Context(), b.request("next", "POST")).(Answered)
 			is.True(answered)
@@ -221,15 +222,16 @@
 	}
 }
 
-// waitUnusable waits until the idle connection shows what the backend server did to it.
-func waitUnusable(t *testing.T, f *Forwarder) {
+// waitForIdleConnectionEvent waits until the idle connection has unread bytes or has been
+// closed by the backend server.
+func waitForIdleConnectionEvent(t *testing.T, f *Forwarder) {
 	t.Helper()
-	host := f.instances["quotes-1"].host
-	cc, err := host.AcquireConn(0, false)
+	hostClient := f.instances["quotes-1"].hostClient
+	cc, err := hostClient.AcquireConn(0, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer host.ReleaseConn(cc)
+	defer hostClient.ReleaseConn(cc)
 	raw, err := cc.Conn().(*connection).Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
@@ -242,34 +244,34 @@
 	}
 }
 
-// Guards against an unknown outcome, or a second execution, when the backend server
-// closes a kept connection between two requests.
+// Guards against an unknown outcome, or a second execution, when the backend server closes
+// an idle connection between two requests.
 func TestClosedIdleConnectionIsReplaced(t *testing.T) {
 	is := is.New(t)
-	b := serve(t, func(c net.Conn, q *http.Request) bool {
+	b := startBackend(t, func(c net.Conn, q *http.Request) bool {
 		echo(c, q)
 		return q.Header.Get(headerRequest) != "first"
 	})
-	f := start(t)
+	f := newForwarder(t)
 	_, answered := f.Send(t.Context(), b.request("first", "POST")).(Answered)
 	is.True(answered)
-	waitUnusable(t, f)
+	waitForIdleConnectionEvent(t, f)
 	_, answered = f.Send(t.Context(), b.request("next", "POST")).(Answered)
 	is.True(answered)
 	is.Equal(b.executions("next"), 1)
 	is.Equal(b.connections(), 2)
 }
 
-// Guards against "not run" for anything later than the first written byte, and against
-// "unknown" when nothing was written.
-func TestNotRun(t *testing.T) {
+// Guards against NotRun after the first byte was written, unless the backend server
+// rejected the request, and against Unknown when nothing was written.
+func TestNotRunOnlyIfNothingSentOrRejected(t *testing.T) {
 	is := is.New(t)
-	b := serve(t, func(c net.Conn, q *http.Request) bool {
+	b := startBackend(t, func(c net.Conn, q *http.Request) bool {
 		_, err := c.Write([]byte(response(503, q.Header.Get(headerRequest), "1",
 			"Peridot-Not-Run: true\r\nPeridot-Slots-Used: 8\r\n", "")))
 		return err == nil
 	})
-	f := start(t)
+	f := newForwarder(t)
 	rejected, notRun := f.Send(t.Context(), b.request("full", "POST")).(NotRun)
 	is.True(notRun)
 	is.True(rejected.Rejected)
@@ -295,16 +297,16 @@
 	is.Equal(b.executions("refused"), 0)
 }
 
-// Guards against more connections to an instance than this host's share, in use or idle.
+// Guards against more connections to an instance, in use or idle, than this host may open.
 func TestConnectionsAreBounded(t *testing.T) {
 	is := is.New(t)
 	arrived, answer := make(chan struct{}, 2), make(chan struct{})
-	b := serve(t, func(c net.Conn, q *http.Request) bool {
+	b := startBackend(t, func(c net.Conn, q *http.Request) bool {
 		arrived <- struct{}{}
 		<-answer
 		return echo(c, q)
 	})
-	f := start(t)
+	f := newForwarder(t)
 	results := make(chan Result, 2)
 	for i := range 2 {
 		q := b.request(fmt.Sprint("q", i), "GET")
@@ -323,22 +325,22 @@
 		_, answered := (<-results).(Answered)
 		is.True(answered)
 	}
-	is.True(f.instances["quotes-1"].host.ConnsCount() <= 1) // both may have seen the excess
+	is.True(f.instances["quotes-1"].hostClient.ConnsCount() <= 1) // 0 if both requests saw too many connections and closed theirs
 	f.Retain(nil)
 	is.Equal(len(f.instances), 0)
 }
 
-// Guards against headers of this protocol or of one hop leaking between the sides, and
-// against a changed path or body.
-func TestPassesRequestAndResponse(t *testing.T) {
+// Guards against hop-by-hop headers and headers of the entry hosts' protocol that are
+// forwarded between caller and backend server, and against a changed path or body.
+func TestForwardsRequestAndResponseUnchanged(t *testing.T) {
 	is := is.New(t)
-	seen := make(chan *http.Request, 1)
-	b := serve(t, func(c net.Conn, q *http.Request) bool {
-		seen <- q
+	received := make(chan *http.Request, 1)
+	b := startBackend(t, func(c net.Conn, q *http.Request) bool {
+		received <- q
 		_, err := c.Write([]byte(response(201, "q1", "1", "X-Coil: 7\r\nPeridot-Slots-Used: 5\r\n", "done")))
 		return err == nil
 	})
-	f := start(t)
+	f := newForwarder(t)
 	q := b.request("q1", "PUT")
 	q.Path = "//a/../b%20c?x=1"
 	q.Body = []byte("payload")
@@ -348,7 +350,7 @@
 	is.Equal(answer.Status, 201)
 	is.Equal(answer.SlotsUsed, 5)
 	is.Equal(answer.Headers, []Header{{"X-Coil", "7"}})
-	r := <-seen
+	r := <-received
 	is.Equal(r.RequestURI, "//a/../b%20c?x=1")
 	is.Equal(r.Header.Get("Accept"), "text/plain")
 	is.Equal(r.Header.Get("Peridot-Tenant"), "")
