--- a/internal/receiver/answer.go
+++ b/internal/receiver/answer.go
@@ -8,8 +8,9 @@
 	"github.com/valyala/fasthttp"
 )
 
-// hop is the set of response headers that concern one connection or are written here.
-var hop = map[string]bool{
+// notForwardedHeaders are response headers of a backend server that are not copied to the
+// caller: they concern a single connection or are set by this package.
+var notForwardedHeaders = map[string]bool{
 	"Connection": true, "Content-Length": true, "Keep-Alive": true, "Proxy-Authenticate": true,
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	HeaderRequest: true, HeaderOutcome: true, HeaderReason: true,
@@ -21,7 +22,7 @@
 	case Answered:
 		ctx.SetStatusCode(o.Status)
 		for _, h := range o.Headers {
-			if !hop[h.Name] {
+			if !notForwardedHeaders[h.Name] {
 				ctx.Response.Header.Add(h.Name, h.Value)
 			}
 		}
@@ -33,7 +34,7 @@
 			status = fasthttp.StatusTooManyRequests
 		}
 		if o.RetryAfter > 0 {
-			ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, seconds(o.RetryAfter))
+			ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, ceilSeconds(o.RetryAfter))
 		}
 		ctx.Response.Header.Set(HeaderOutcome, OutcomeNotRun)
 		ctx.Response.Header.Set(HeaderReason, o.Reason)
@@ -46,11 +47,13 @@
 	ctx.Response.Header.Set(HeaderRequest, id)
 }
 
-// seconds rounds up, so that a caller does not come back too early.
-func seconds(d time.Duration) string {
+// ceilSeconds formats d in seconds for the Retry-After header, rounded up so that a caller
+// does not retry too early.
+func ceilSeconds(d time.Duration) string {
 	return strconv.FormatInt(int64((d+time.Second-1)/time.Second), 10)
 }
 
+// writeError writes a JSON error body.
 func writeError(ctx *fasthttp.RequestCtx, status int, code, message, id string) {
 	ctx.SetStatusCode(status)
 	writeJSON(ctx, struct {
@@ -58,7 +61,7 @@
 	}{struct{ Code, Message, Request string }{code, message, id}})
 }
 
-// probe answers /ready and /live.
+// probe answers /ready and /live: 503 if reasons is not empty, and 200 otherwise.
 func (r *Receiver) probe(ctx *fasthttp.RequestCtx, reasons []string) {
 	if len(reasons) > 0 {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
@@ -72,7 +75,7 @@
 func writeJSON(ctx *fasthttp.RequestCtx, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
-		body = []byte("{}") // v has only strings and booleans
+		body = []byte("{}") // not expected: v has only strings and booleans
 	}
 	ctx.SetContentType("application/json")
 	ctx.SetBody(body)
--- a/internal/receiver/doc.go
+++ b/internal/receiver/doc.go
@@ -1,5 +1,5 @@
-// Package receiver is the HTTP server for callers. It checks each request, gives it an
+// Package receiver is the HTTP server for callers. It checks each request, assigns it an
 // identity, passes it to a Handler and writes exactly one final answer.
 //
-// It holds no lock of its own.
+// The package has no lock of its own.
 package receiver
--- a/internal/receiver/example_test.go
+++ b/internal/receiver/example_test.go
@@ -10,7 +10,7 @@
 	"peridotpitch/internal/receiver"
 )
 
-// refuser is a handler without capacity.
+// refuser is a handler that runs no request, as if its queue were always full.
 type refuser struct{}
 
 func (refuser) Handle(context.Context, receiver.Request) receiver.Outcome {
--- a/internal/receiver/fuzz_test.go
+++ b/internal/receiver/fuzz_test.go
@@ -9,26 +9,26 @@
 	"github.com/valyala/fasthttp"
 )
 
-// FuzzParse guards against a header or target that makes the parser fail, or that passes
-// with a value outside the protocol.
+// FuzzParse guards against a header or target that makes the parser panic, or that is
+// accepted although a value is outside the protocol.
 func FuzzParse(f *testing.F) {
 	f.Add("GET /services/quotes/x HTTP/1.1\r\nHost: a\r\n\r\n")
 	f.Add("POST /services/quotes?x HTTP/1.1\r\nHost: a\r\nPeridot-Tenant: band\r\nPeridot-Timeout: 1s\r\n\r\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		var h fasthttp.RequestHeader
-		if h.Read(bufio.NewReaderSize(strings.NewReader(text), maxHeader)) != nil {
+		if h.Read(bufio.NewReaderSize(strings.NewReader(text), maxHeaderBytes)) != nil {
 			return
 		}
-		const longest = 30 * time.Second
+		const maxTimeout = 30 * time.Second
 		now := time.Unix(0, 0)
-		q, problem := parse(&h, string(h.RequestURI()), longest, now)
+		q, problem := parse(&h, string(h.RequestURI()), maxTimeout, now)
 		if problem != nil {
 			if problem.Status < 400 || problem.Status > 499 || problem.Code == "" || problem.Message == "" {
 				t.Fatalf("problem %+v is not a complete refusal", problem)
 			}
 			return
 		}
-		if left := q.Deadline.Sub(now); left <= 0 || left > longest {
+		if left := q.Deadline.Sub(now); left <= 0 || left > maxTimeout {
 			t.Fatalf("time left is %v", left)
 		}
 		if !validName(q.Service) || q.Tenant != "" && !validName(q.Tenant) {
--- a/internal/receiver/metrics.go
+++ b/internal/receiver/metrics.go
@@ -7,9 +7,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metrics are the receiver's metrics. Label values are bounded by the configuration.
-// Service and tenant label different histograms, so that the number of series is the
-// sum and not the product of both.
+// metrics are the receiver's metrics. The configuration bounds the set of label values.
+// Service and tenant are labels of different histograms, so that the number of time series
+// grows with the sum of services and tenants and not with their product.
 type metrics struct {
 	byService *prometheus.HistogramVec
 	byTenant  *prometheus.HistogramVec
@@ -45,7 +45,7 @@
 	return m, nil
 }
 
-func (m *metrics) observe(service, tenant string, class Class, o Outcome, took time.Duration) {
+func (m *metrics) recordOutcome(service, tenant string, class Class, o Outcome, took time.Duration) {
 	m.byService.WithLabelValues(service, string(class)).Observe(took.Seconds())
 	m.byTenant.WithLabelValues(tenant, string(class)).Observe(took.Seconds())
 	name := OutcomeUnknown
@@ -58,4 +58,4 @@
 	m.outcomes.WithLabelValues(service, string(class), name).Inc()
 }
 
-func (m *metrics) refused(code string) { m.refusals.WithLabelValues(code).Inc() }
+func (m *metrics) countRefusal(code string) { m.refusals.WithLabelValues(code).Inc() }
--- a/internal/receiver/parse.go
+++ b/internal/receiver/parse.go
@@ -9,13 +9,13 @@
 	"github.com/valyala/fasthttp"
 )
 
-// servicePrefix begins the path of every request to a service.
+// servicePrefix is the prefix of the path of every request to a service.
 const servicePrefix = "/services/"
 
-// maxName bounds the name of a service or tenant, in bytes.
-const maxName = 64
+// maxNameBytes is the maximum length of the name of a service or tenant.
+const maxNameBytes = 64
 
-// Problem says why a request was refused before it was handled.
+// Problem describes why a request was refused before it reached the handler.
 type Problem struct {
 	Status  int
 	Code    string
@@ -25,18 +25,19 @@
 // Error implements error.
 func (p *Problem) Error() string { return p.Code + ": " + p.Message }
 
-func bad(format string, args ...any) *Problem {
+func badRequest(format string, args ...any) *Problem {
 	return &Problem{fasthttp.StatusBadRequest, "bad-request", fmt.Sprintf(format, args...)}
 }
 
-// parse checks a request's target and header. The identity and the body are not set.
-func parse(h *fasthttp.RequestHeader, target string, longest time.Duration, now time.Time) (Request, *Problem) {
+// parse checks the target and the headers of a request and returns the request without its
+// identity and body. The timeout is maxTimeout if the caller sets none.
+func parse(h *fasthttp.RequestHeader, target string, maxTimeout time.Duration, now time.Time) (Request, *Problem) {
 	rest, found := strings.CutPrefix(target, servicePrefix)
 	if !found {
 		return Request{}, &Problem{fasthttp.StatusNotFound, "not-found", "requests go to " + servicePrefix + "<service>/<path>"}
 	}
 	if i := strings.IndexFunc(rest, func(c rune) bool { return c <= ' ' || c == 0x7f || c == '#' }); i >= 0 {
-		return Request{}, bad("the path contains the character %q", rest[i])
+		return Request{}, badRequest("the path contains the character %q", rest[i])
 	}
 	end := strings.IndexAny(rest, "/?")
 	if end < 0 {
@@ -47,27 +48,27 @@
 		q.Path = "/" + q.Path
 	}
 	if !validName(q.Service) {
-		return Request{}, bad("service name %q is not valid", q.Service)
+		return Request{}, badRequest("service name %q is not valid", q.Service)
 	}
 	if q.Method == fasthttp.MethodConnect || q.Method == fasthttp.MethodTrace {
-		return Request{}, bad("method %s is not served", q.Method)
+		return Request{}, badRequest("method %s is not served", q.Method)
 	}
-	if problem := q.parseHeaders(h, longest, now); problem != nil {
+	if problem := q.parseHeaders(h, maxTimeout, now); problem != nil {
 		return Request{}, problem
 	}
 	return q, nil
 }
 
-func (q *Request) parseHeaders(h *fasthttp.RequestHeader, longest time.Duration, now time.Time) *Problem {
-	tenant, problem := single(h, HeaderTenant)
+func (q *Request) parseHeaders(h *fasthttp.RequestHeader, maxTimeout time.Duration, now time.Time) *Problem {
+	tenant, problem := singleHeader(h, HeaderTenant)
 	if problem != nil {
 		return problem
 	}
 	if tenant != "" && !validName(tenant) {
-		return bad("%s: name %q is not valid", HeaderTenant, tenant)
+		return badRequest("%s: name %q is not valid", HeaderTenant, tenant)
 	}
 	q.Tenant = tenant
-	class, problem := single(h, HeaderClass)
+	class, problem := singleHeader(h, HeaderClass)
 	if problem != nil {
 		return problem
 	}
@@ -76,9 +77,9 @@
 	case ClassUrgent:
 		q.Class = ClassUrgent
 	default:
-		return bad("%s: %q is neither %s nor %s", HeaderClass, class, ClassUrgent, ClassNormal)
+		return badRequest("%s: %q is neither %s nor %s", HeaderClass, class, ClassUrgent, ClassNormal)
 	}
-	repeatable, problem := single(h, HeaderRepeatable)
+	repeatable, problem := singleHeader(h, HeaderRepeatable)
 	if problem != nil {
 		return problem
 	}
@@ -87,9 +88,9 @@
 	case "true":
 		q.Repeatable = true
 	default:
-		return bad("%s: %q is neither true nor false", HeaderRepeatable, repeatable)
+		return badRequest("%s: %q is neither true nor false", HeaderRepeatable, repeatable)
 	}
-	timeout, problem := parseTimeout(h, longest)
+	timeout, problem := parseTimeout(h, maxTimeout)
 	if problem != nil {
 		return problem
 	}
@@ -102,26 +103,27 @@
 	return nil
 }
 
-func parseTimeout(h *fasthttp.RequestHeader, longest time.Duration) (time.Duration, *Problem) {
-	text, problem := single(h, HeaderTimeout)
+func parseTimeout(h *fasthttp.RequestHeader, maxTimeout time.Duration) (time.Duration, *Problem) {
+	text, problem := singleHeader(h, HeaderTimeout)
 	if problem != nil || text == "" {
-		return longest, problem
+		return maxTimeout, problem
 	}
 	d, err := time.ParseDuration(text)
 	if err != nil {
-		return 0, bad("%s: %q is not a duration such as 800ms", HeaderTimeout, text)
+		return 0, badRequest("%s: %q is not a duration such as 800ms", HeaderTimeout, text)
 	}
-	if d <= 0 || d > longest {
-		return 0, bad("%s: %v is not above 0 and at most %v", HeaderTimeout, d, longest)
+	if d <= 0 || d > maxTimeout {
+		return 0, badRequest("%s: %v is not above 0 and at most %v", HeaderTimeout, d, maxTimeout)
 	}
 	return d, nil
 }
 
-// single returns the value of a header that may occur once.
-func single(h *fasthttp.RequestHeader, name string) (string, *Problem) {
+// singleHeader returns the value of a header that may occur at most once, or "" if it is
+// absent.
+func singleHeader(h *fasthttp.RequestHeader, name string) (string, *Problem) {
 	values := h.PeekAll(name)
 	if len(values) > 1 {
-		return "", bad("%s occurs %s times", name, strconv.Itoa(len(values)))
+		return "", badRequest("%s occurs %s times", name, strconv.Itoa(len(values)))
 	}
 	if len(values) == 0 {
 		return "", nil
@@ -129,10 +131,10 @@
 	return string(values[0]), nil
 }
 
-// validName reports whether a name has only letters, digits, dots, hyphens and
-// underscores, and begins with a letter or digit.
+// validName reports whether a name has 1 to maxNameBytes bytes, which are ASCII letters,
+// digits, dots, hyphens and underscores, and begins with a letter or digit.
 func validName(name string) bool {
-	if name == "" || len(name) > maxName {
+	if name == "" || len(name) > maxNameBytes {
 		return false
 	}
 	for i, c := range []byte(name) {
--- a/internal/receiver/receiver_test.go
+++ b/internal/receiver/receiver_test.go
@@ -13,13 +13,13 @@
 	"github.com/matryer/is"
 )
 
-// handlerFunc is a Handler made of a function.
+// handlerFunc implements Handler by a function.
 type handlerFunc func(ctx context.Context, q Request) Outcome
 
 func (f handlerFunc) Handle(ctx context.Context, q Request) Outcome { return f(ctx, q) }
 
-// serveTest starts a receiver and returns it with its base URL.
-func serveTest(t *testing.T, s Settings) (*Receiver, string) {
+// startReceiver starts a receiver and returns it with its base URL.
+func startReceiver(t *testing.T, s Settings) (*Receiver, string) {
 	t.Helper()
 	r, err := New(s)
 	if err != nil {
@@ -64,13 +64,14 @@
 	return resp, string(got)
 }
 
-// Guards against a request that reaches the handler in another form than it was sent,
-// and against memory of fasthttp's pools in it.
-func TestPassesCheckedRequest(t *testing.T) {
+// Guards against a request that reaches the handler with other contents than were sent, and
+// against a request that refers to memory of fasthttp's pools, which the next request
+// overwrites.
+func TestHandlerReceivesRequestUnchanged(t *testing.T) {
 	is := is.New(t)
-	var seen []Request
-	_, url := serveTest(t, Settings{Handler: handlerFunc(func(_ context.Context, q Request) Outcome {
-		seen = append(seen, q)
+	var received []Request
+	_, url := startReceiver(t, Settings{Handler: handlerFunc(func(_ context.Context, q Request) Outcome {
+		received = append(received, q)
 		return Answered{Status: 201, Headers: []Header{{"X-Die", "9"}, {"Connection", "close"}}, Body: []byte("ok")}
 	})})
 	for range 2 {
@@ -80,10 +81,10 @@
 		is.Equal(body, "ok")
 		is.Equal(resp.Header.Get("X-Die"), "9")
 		is.Equal(resp.Header.Get(HeaderOutcome), OutcomeAnswered)
-		is.Equal(resp.Header.Get(HeaderRequest), seen[len(seen)-1].ID)
+		is.Equal(resp.Header.Get(HeaderRequest), received[len(received)-1].ID)
 	}
-	q := seen[0]
-	is.True(q.ID != "" && q.ID != seen[1].ID)
+	q := received[0]
+	is.True(q.ID != "" && q.ID != received[1].ID)
 	is.Equal(q.Service, "quotes")
 	is.Equal(q.Path, "/a%2Fb/../c?x=1&y")
 	is.Equal(q.Method, "PUT")
@@ -101,10 +102,11 @@
 	is.Equal(own, 1)
 }
 
-// Guards against a malformed request being handled, or refused without a typed error.
+// Guards against a malformed request that reaches the handler, or is refused without an
+// error code.
 func TestRefusesMalformedRequests(t *testing.T) {
 	is := is.New(t)
-	_, url := serveTest(t, Settings{
+	_, url := startReceiver(t, Settings{
 		Services: func() []string { return []string{"quotes"} },
 		Handler: handlerFunc(func(_ context.Context, q Request) Outcome {
 			t.Errorf("handled: %+v", q)
@@ -128,7 +130,7 @@
 		{"/services/quotes/x", "", []string{HeaderRepeatable, "yes"}, 400, "bad-request"},
 		{"/services/quotes/x", "", []string{HeaderTenant, "a b"}, 400, "bad-request"},
 		{"/services/quotes/x", "", []string{HeaderTenant, "a", HeaderTenant, "b"}, 400, "bad-request"},
-		{"/services/quotes/x", strings.Repeat("x", maxBody+1), nil, 413, "too-large"},
+		{"/services/quotes/x", strings.Repeat("x", maxBodyBytes+1), nil, 413, "too-large"},
 	}
 	for _, c := range cases {
 		resp, body := send(t, "POST", url+c.path, c.body, c.headers...)
@@ -143,11 +145,12 @@
 	}
 }
 
-// Guards against a wrong status for an outcome: a caller repeats a request by it.
-func TestWritesOutcomes(t *testing.T) {
+// Guards against a wrong status for an outcome, by which a caller decides whether to retry,
+// and against wrong metrics.
+func TestOutcomeSetsStatusAndMetrics(t *testing.T) {
 	is := is.New(t)
 	var next Outcome
-	r, url := serveTest(t, Settings{
+	r, url := startReceiver(t, Settings{
 		Handler: handlerFunc(func(context.Context, Request) Outcome { return next }),
 		Tenants: func() []string { return []string{"band-1"} },
 	})
@@ -187,13 +190,13 @@
 	is.Equal(resp.StatusCode, 200)
 }
 
-// Guards against a caller without an answer when the handler panics, or ignores its
+// Guards against a request that is never answered because the handler panics or ignores its
 // context.
-func TestAnswersForFailedHandler(t *testing.T) {
+func TestFailedHandlerIsAnsweredAsUnknown(t *testing.T) {
 	is := is.New(t)
 	release := make(chan struct{})
 	defer close(release)
-	_, url := serveTest(t, Settings{Handler: handlerFunc(func(_ context.Context, q Request) Outcome {
+	_, url := startReceiver(t, Settings{Handler: handlerFunc(func(_ context.Context, q Request) Outcome {
 		if q.Path == "/panic" {
 			panic("fault")
 		}
@@ -207,7 +210,7 @@
 	}
 }
 
-// Guards against a planned stop that interrupts a request in flight (guarantee 8).
+// Guards against a shutdown that interrupts a request in flight (guarantee 8).
 func TestShutdownFinishesRequestsInFlight(t *testing.T) {
 	is := is.New(t)
 	arrived, release := make(chan struct{}), make(chan struct{})
--- a/internal/receiver/request.go
+++ b/internal/receiver/request.go
@@ -29,18 +29,18 @@
 // Class is the urgency of a request.
 type Class string
 
-// Classes.
+// Classes of requests.
 const (
 	ClassUrgent Class = "urgent"
 	ClassNormal Class = "normal"
 )
 
-// Request is a checked request of a caller. It shares no memory with the HTTP server.
+// Request is a valid request of a caller. It shares no memory with the HTTP server.
 type Request struct {
 	ID         string
 	Service    string
 	Method     string
-	Path       string // below the service, with the query string; begins with a slash
+	Path       string // part of the path after the service, with the query string; begins with a slash
 	Tenant     string // empty if the caller sent none
 	Class      Class
 	Repeatable bool
@@ -59,14 +59,14 @@
 	Body    []byte
 }
 
-// NotRun says that the request did not run.
+// NotRun reports that the request did not run.
 type NotRun struct {
 	Reason     string
-	Quota      bool          // refused because of the tenant's quota: status 429, else 503
+	Quota      bool          // refused because of the tenant's quota: status 429 instead of 503
 	RetryAfter time.Duration // 0 if unknown
 }
 
-// Unknown says that the request may have run.
+// Unknown reports that the request may have run.
 type Unknown struct {
 	Reason string
 }
@@ -75,8 +75,8 @@
 func (NotRun) outcome()   {}
 func (Unknown) outcome()  {}
 
-// Handler gives each request its final outcome. It must return soon after ctx ends,
-// which is at the request's deadline.
+// Handler determines the final outcome of each request. Handle must return soon after ctx
+// ends, which is at the request's deadline.
 type Handler interface {
 	Handle(ctx context.Context, q Request) Outcome
 }
