--- a/internal/registrar/doc.go
+++ b/internal/registrar/doc.go
@@ -1,5 +1,6 @@
-// Package registrar keeps one entry host's view of membership: which entry hosts are
-// alive, judged by heartbeats, and which hosts are leaving, judged by the platform's
-// lagging list, by operators and by the hosts themselves. It does no I/O and reads no
-// clock. A Registrar has one mutex and calls nothing while it holds it.
+// Package registrar tracks the membership of hosts for one entry host: which entry hosts are
+// alive, according to their heartbeats, and which hosts are leaving, according to the
+// platform's host list, to operators and to the hosts themselves. It does no I/O and reads
+// no clock. A Registrar has one mutex and makes no calls to other packages of the project
+// while it holds it.
 package registrar
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -14,82 +14,87 @@
 )
 
 const (
-	// SilenceLimit is the time without a heartbeat after which an entry host counts as
-	// down: three heartbeats of 500 ms.
-	SilenceLimit = 1500 * time.Millisecond
-	// ListSettleTime is how long the platform's list must call a host live without
-	// interruption before a leaving host counts as live again. The list lags and may
-	// go back and forth; a host taken back too early would get new work while it leaves.
+	// HeartbeatTimeout is the time without a heartbeat after which an entry host counts as
+	// down: three heartbeat intervals of 500 ms.
+	HeartbeatTimeout = 1500 * time.Millisecond
+	// ListSettleTime is how long the platform's host list must report a leaving host as live
+	// without interruption before it counts as live again. The list lags and may flap; a host
+	// that counted as live too early would get new work while it is leaving.
 	ListSettleTime = 60 * time.Second
-	// maxNotices bounds the notices kept, about twice the hosts expected in two years.
+	// maxNotices limits the number of stored notices to about twice the number of hosts
+	// expected in two years.
 	maxNotices = 4096
-	// maxWithdrawn bounds the notices kept of hosts that are live again: a day's 380
-	// restarts alone filled heartbeats with 25 KB of them.
-	maxWithdrawn = 100
+	// maxWithdrawnNotices limits the number of stored notices about hosts that are live again.
+	// Without a limit, 380 restarts in a day added 25 KB to each heartbeat.
+	maxWithdrawnNotices = 100
 )
 
+// noticeKey identifies a notice. Each source has its own notice about a host.
 type noticeKey struct {
 	host   string
 	source messenger.NoticeSource
 }
 
+// peer is the state of another entry host.
 type peer struct {
-	identity messenger.Identity
-	heard    time.Time
-	// died is when an earlier process was last heard that had not drained; zero if none.
-	died time.Time
+	identity      messenger.Identity
+	lastHeartbeat time.Time
+	// crashedAt is the time of the last heartbeat of the latest earlier process that ended
+	// without draining; zero if there is none.
+	crashedAt time.Time
 }
 
-// Registrar is safe for concurrent use.
+// Registrar holds the membership state. It is safe for concurrent use.
 type Registrar struct {
-	mu        sync.Mutex
-	peers     map[string]peer
-	notices   map[noticeKey]messenger.HostNotice
-	liveSince map[string]time.Time // hosts that the list calls live again
-	listed    map[string]bool      // hosts that the last list called leaving
-	withdrawn []noticeKey          // withdrawn notices, oldest first
+	mu            sync.Mutex
+	peers         map[string]peer
+	notices       map[noticeKey]messenger.HostNotice
+	liveSince     map[string]time.Time // since when the list reports a leaving host as live
+	listedLeaving map[string]bool      // hosts that are leaving according to the latest list
+	withdrawn     []noticeKey          // keys of withdrawn notices, oldest first
 }
 
-// New returns a Registrar that has heard of nobody.
+// New returns a Registrar without peers and notices.
 func New() *Registrar {
 	return &Registrar{
-		peers:     make(map[string]peer),
-		notices:   make(map[noticeKey]messenger.HostNotice),
-		liveSince: make(map[string]time.Time),
-		listed:    make(map[string]bool),
+		peers:         make(map[string]peer),
+		notices:       make(map[noticeKey]messenger.HostNotice),
+		liveSince:     make(map[string]time.Time),
+		listedLeaving: make(map[string]bool),
 	}
 }
 
-// Heard takes in what an entry host says about itself and about leaving hosts. It
-// returns the hosts that it now knows to be leaving and did not before.
+// Heard records the identity of the sender of a heartbeat or of an answer to one, with its
+// notices about leaving hosts. It returns the hosts that count as leaving now and did not
+// before.
 func (r *Registrar) Heard(m messenger.Identity, now time.Time) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	previous, known := r.peers[m.Host]
-	died := previous.died
+	died := previous.crashedAt
 	if known && previous.identity.Incarnation != m.Incarnation {
-		r.clearOwnNotice(m.Host)
+		r.withdrawOwnNotice(m.Host)
 		if !previous.identity.Drained {
-			died = previous.heard
+			died = previous.lastHeartbeat
 		}
 	}
-	r.peers[m.Host] = peer{identity: m, heard: now, died: died}
+	r.peers[m.Host] = peer{identity: m, lastHeartbeat: now, crashedAt: died}
 	var added []string
-	if m.Leaving && r.set(m.Host, messenger.SourceHost, true) {
+	if m.Leaving && r.setNotice(m.Host, messenger.SourceHost, true) {
 		added = append(added, m.Host)
 	}
 	for _, n := range m.Notices {
-		was := r.leaving(n.Host)
-		r.merge(n)
-		if !was && r.leaving(n.Host) {
+		was := r.isLeaving(n.Host)
+		r.mergeNotice(n)
+		if !was && r.isLeaving(n.Host) {
 			added = append(added, n.Host)
 		}
 	}
 	return added
 }
 
-// PlatformList takes in the platform's list. It returns the hosts that are newly
-// known to be leaving.
+// PlatformList records the platform's host list. It returns the hosts that count as leaving now
+// and did not before.
 func (r *Registrar) PlatformList(l storer.HostList, now time.Time) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,21 +102,21 @@
 	for _, h := range l.Hosts {
 		if h.State == storer.HostLeaving {
 			delete(r.liveSince, h.Name)
-			r.listed[h.Name] = true
-			if r.set(h.Name, messenger.SourcePlatform, true) {
+			r.listedLeaving[h.Name] = true
+			if r.setNotice(h.Name, messenger.SourcePlatform, true) {
 				added = append(added, h.Name)
 			}
 			continue
 		}
-		delete(r.listed, h.Name)
-		r.settle(h.Name, now)
+		delete(r.listedLeaving, h.Name)
+		r.confirmLive(h.Name, now)
 	}
 	return added
 }
 
-// settle withdraws the platform's notice once the list has called the host live for
+// confirmLive withdraws the platform's notice once the list has reported the host as live for
 // ListSettleTime.
-func (r *Registrar) settle(host string, now time.Time) {
+func (r *Registrar) confirmLive(host string, now time.Time) {
 	n, ok := r.notices[noticeKey{host, messenger.SourcePlatform}]
 	if !ok || !n.Leaving {
 		return
@@ -123,58 +128,64 @@
 	}
 	if now.Sub(since) >= ListSettleTime {
 		delete(r.liveSince, host)
-		r.set(host, messenger.SourcePlatform, false)
+		r.setNotice(host, messenger.SourcePlatform, false)
 	}
 }
 
-// Mark records that a source other than the platform's list says a host is leaving or
-// no longer leaving. It reports whether the host's state changed.
+// Mark records that an operator or the host itself declares a host leaving or no longer
+// leaving. It reports whether the host's state changed.
 func (r *Registrar) Mark(host string, source messenger.NoticeSource, leaving bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	was := r.leaving(host)
-	r.set(host, source, leaving)
-	return was != r.leaving(host)
+	was := r.isLeaving(host)
+	r.setNotice(host, source, leaving)
+	return was != r.isLeaving(host)
 }
 
-// clearOwnNotice withdraws what an earlier process of the host said of itself.
-func (r *Registrar) clearOwnNotice(host string) {
+// withdrawOwnNotice withdraws the notice of an earlier process of the host that it was leaving.
+func (r *Registrar) withdrawOwnNotice(host string) {
 	if n, ok := r.notices[noticeKey{host, messenger.SourceHost}]; ok && n.Leaving {
-		r.set(host, messenger.SourceHost, false)
+		r.setNotice(host, messenger.SourceHost, false)
 	}
 }
 
-// set records a notice of this host's own and reports whether the host was not
-// leaving before and is now.
-func (r *Registrar) set(host string, source messenger.NoticeSource, leaving bool) bool {
+// setNotice records a notice that originates here, with the next version. It reports whether
+// the host counts as leaving now and did not before.
+func (r *Registrar) setNotice(host string, source messenger.NoticeSource, leaving bool) bool {
 	key := noticeKey{host, source}
 	old, ok := r.notices[key]
 	if ok && old.Leaving == leaving || !ok && !leaving {
 		return false
 	}
-	was := r.leaving(host)
-	r.store(messenger.HostNotice{Host: host, Source: source, Leaving: leaving, Version: old.Version + 1})
+	was := r.isLeaving(host)
+	r.storeNotice(messenger.HostNotice{Host: host, Source: source, Leaving: leaving, Version: old.Version + 1})
 	return !was && leaving
 }
 
-func (r *Registrar) merge(n messenger.HostNotice) {
+// mergeNotice records a notice from a heartbeat unless the stored one takes precedence: the
+// higher version wins, and in a tie the notice that says leaving.
+func (r *Registrar) mergeNotice(n messenger.HostNotice) {
 	old, ok := r.notices[noticeKey{n.Host, n.Source}]
-	// A forgotten withdrawal must not come back from a peer that has yet to forget it.
+	// A withdrawn notice that was evicted here must not return from a peer that still has
+	// it.
 	if !ok && !n.Leaving {
 		return
 	}
 	if ok && (n.Version < old.Version || n.Version == old.Version && old.Leaving) {
 		return
 	}
-	// Another entry host's list may be older than this host's.
-	if n.Source == messenger.SourcePlatform && !n.Leaving && r.listed[n.Host] {
+	// The peer may have withdrawn the platform's notice because of an older host list than
+	// this host's. The higher version makes the notice prevail on all entry hosts.
+	if n.Source == messenger.SourcePlatform && !n.Leaving && r.listedLeaving[n.Host] {
 		n.Leaving = true
 		n.Version++
 	}
-	r.store(n)
+	r.storeNotice(n)
 }
 
-func (r *Registrar) store(n messenger.HostNotice) {
+// storeNotice stores a notice and evicts the oldest withdrawn ones beyond
+// maxWithdrawnNotices. A new notice is dropped if there are maxNotices already.
+func (r *Registrar) storeNotice(n messenger.HostNotice) {
 	key := noticeKey{n.Host, n.Source}
 	if _, ok := r.notices[key]; !ok && len(r.notices) >= maxNotices {
 		return
@@ -184,17 +195,17 @@
 		return
 	}
 	r.withdrawn = append(r.withdrawn, key)
-	for len(r.withdrawn) > maxWithdrawn {
+	for len(r.withdrawn) > maxWithdrawnNotices {
 		oldest := r.withdrawn[0]
 		r.withdrawn = r.withdrawn[1:]
-		// A notice that says leaving again is kept: its host would get new work.
+		// A notice that says leaving again must stay, or its host would get new work.
 		if !r.notices[oldest].Leaving && !slices.Contains(r.withdrawn, oldest) {
 			delete(r.notices, oldest)
 		}
 	}
 }
 
-func (r *Registrar) leaving(host string) bool {
+func (r *Registrar) isLeaving(host string) bool {
 	for _, s := range []messenger.NoticeSource{messenger.SourcePlatform, messenger.SourceOperator, messenger.SourceHost} {
 		if r.notices[noticeKey{host, s}].Leaving {
 			return true
@@ -203,11 +214,11 @@
 	return false
 }
 
-// Leaving reports whether any source says that the host is leaving.
+// Leaving reports whether the host is leaving according to any source.
 func (r *Registrar) Leaving(host string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.leaving(host)
+	return r.isLeaving(host)
 }
 
 // LeavingHosts returns the names of all leaving hosts, sorted.
@@ -232,30 +243,30 @@
 func (r *Registrar) Notices() []messenger.HostNotice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.sorted()
+	return r.sortedNotices()
 }
 
-// Exchange returns the digest of the notices that say leaving, and the notices that a
-// message to the peer carries: none if the peer's last message had the same digest.
+// Exchange returns the digest of the notices that say leaving, and the notices to send to the
+// peer: none if the peer's last message had the same digest.
 func (r *Registrar) Exchange(peer string) (uint64, []messenger.HostNotice) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	notices := r.sorted()
-	digest := digestOf(notices)
+	notices := r.sortedNotices()
+	digest := noticeDigest(notices)
 	if p, ok := r.peers[peer]; ok && p.identity.NoticeDigest == digest {
 		return digest, nil
 	}
 	return digest, notices
 }
 
-// digestOf is 0 if no notice says leaving.
-func digestOf(notices []messenger.HostNotice) uint64 {
+// noticeDigest returns a digest of the notices that say leaving, or 0 if there are none.
+func noticeDigest(notices []messenger.HostNotice) uint64 {
 	d := xxhash.New()
 	leaving := false
 	for _, n := range notices {
 		if n.Leaving {
 			leaving = true
-			_, _ = fmt.Fprintf(d, "%s\x00%s\x00%d\x00", n.Host, n.Source, n.Version) // never fails, as xxhash documents
+			_, _ = fmt.Fprintf(d, "%s\x00%s\x00%d\x00", n.Host, n.Source, n.Version) // documented by xxhash to return no error
 		}
 	}
 	if !leaving {
@@ -264,7 +275,7 @@
 	return d.Sum64()
 }
 
-func (r *Registrar) sorted() []messenger.HostNotice {
+func (r *Registrar) sortedNotices() []messenger.HostNotice {
 	notices := make([]messenger.HostNotice, 0, len(r.notices))
 	for _, n := range r.notices {
 		notices = append(notices, n)
@@ -275,40 +286,40 @@
 	return notices
 }
 
-// Alive reports whether the entry host was heard of within SilenceLimit.
+// Alive reports whether a heartbeat of the entry host arrived within HeartbeatTimeout.
 func (r *Registrar) Alive(host string, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p, ok := r.peers[host]
-	return ok && now.Sub(p.heard) < SilenceLimit
+	return ok && now.Sub(p.lastHeartbeat) < HeartbeatTimeout
 }
 
 // LeftBehind returns how much longer requests of an earlier process of the host may run,
-// if each request ends within limit after that process was last heard.
+// provided that each ends within limit after the last heartbeat of that process.
 func (r *Registrar) LeftBehind(host string, limit time.Duration, now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.peers[host]
-	if p.died.IsZero() {
+	if p.crashedAt.IsZero() {
 		return 0
 	}
-	return max(0, limit-now.Sub(p.died))
+	return max(0, limit-now.Sub(p.crashedAt))
 }
 
-// Peer is the last thing an entry host said about itself.
+// Peer is the state of another entry host, from its last heartbeat.
 type Peer struct {
 	messenger.Identity
 	HeardAt time.Time
 	Alive   bool
 }
 
-// Peers returns all entry hosts that were ever heard of, sorted by name.
+// Peers returns all entry hosts that have sent a heartbeat, sorted by name.
 func (r *Registrar) Peers(now time.Time) []Peer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	peers := make([]Peer, 0, len(r.peers))
 	for _, p := range r.peers {
-		peers = append(peers, Peer{Identity: p.identity, HeardAt: p.heard, Alive: now.Sub(p.heard) < SilenceLimit})
+		peers = append(peers, Peer{Identity: p.identity, HeardAt: p.lastHeartbeat, Alive: now.Sub(p.lastHeartbeat) < HeartbeatTimeout})
 	}
 	slices.SortFunc(peers, func(a, b Peer) int { return cmp.Compare(a.Host, b.Host) })
 	return peers
--- a/internal/registrar/registrar_test.go
+++ b/internal/registrar/registrar_test.go
@@ -12,69 +12,73 @@
 	"peridotpitch/internal/storer"
 )
 
-func list(host string, s storer.HostState) storer.HostList {
+func hostList(host string, s storer.HostState) storer.HostList {
 	return storer.HostList{Hosts: []storer.Host{{Name: host, State: s}}}
 }
 
-// Guards against new work for a leaving host when the platform's list goes back and forth.
-func TestFlappingListKeepsHostLeaving(t *testing.T) {
+// Guards against a leaving host that gets new work because the platform's host list reports it
+// as live for a short time.
+func TestHostStaysLeavingWhileListFlaps(t *testing.T) {
 	is := is.New(t)
 	r, now := New(), time.Unix(0, 0)
-	is.Equal(r.PlatformList(list("w1", storer.HostLeaving), now), []string{"w1"})
+	is.Equal(r.PlatformList(hostList("w1", storer.HostLeaving), now), []string{"w1"})
 	for range 10 {
-		r.PlatformList(list("w1", storer.HostLive), now)
+		r.PlatformList(hostList("w1", storer.HostLive), now)
 		now = now.Add(30 * time.Second)
-		r.PlatformList(list("w1", storer.HostLive), now)
+		r.PlatformList(hostList("w1", storer.HostLive), now)
 		is.True(r.Leaving("w1"))
 		now = now.Add(time.Second)
-		r.PlatformList(list("w1", storer.HostLeaving), now)
+		r.PlatformList(hostList("w1", storer.HostLeaving), now)
 		is.True(r.Leaving("w1"))
 	}
-	r.PlatformList(list("w1", storer.HostLive), now)
-	r.PlatformList(list("w1", storer.HostLive), now.Add(ListSettleTime))
-	is.True(!r.Leaving("w1")) // live for the whole settle time
+	r.PlatformList(hostList("w1", storer.HostLive), now)
+	r.PlatformList(hostList("w1", storer.HostLive), now.Add(ListSettleTime))
+	is.True(!r.Leaving("w1")) // live without interruption for ListSettleTime
 }
 
-// Guards against a peer with an older platform list taking back a leaving host.
-func TestOlderListOfPeerDoesNotWithdraw(t *testing.T) {
+// Guards against a leaving host that counts as live again because a peer with an older host
+// list has withdrawn the platform's notice.
+func TestPeerWithOlderListDoesNotWithdrawNotice(t *testing.T) {
 	is := is.New(t)
 	r, now := New(), time.Unix(0, 0)
-	r.PlatformList(list("w1", storer.HostLeaving), now)
+	r.PlatformList(hostList("w1", storer.HostLeaving), now)
 	withdrawn := messenger.HostNotice{Host: "w1", Source: messenger.SourcePlatform, Version: 9}
 	r.Heard(messenger.Identity{Host: "e2", Notices: []messenger.HostNotice{withdrawn}}, now)
 	is.True(r.Leaving("w1"))
-	is.Equal(r.Notices()[0].Version, uint64(10)) // outranks the peer's withdrawal everywhere
+	is.Equal(r.Notices()[0].Version, uint64(10)) // prevails over the peer's withdrawal on all hosts
 }
 
-// Guards against an operator's drain being undone by the platform calling the host live.
-func TestSourcesAreIndependent(t *testing.T) {
+// Guards against an operator's drain that ends because the platform's list reports the host
+// as live.
+func TestNoticeSourcesAreIndependent(t *testing.T) {
 	is := is.New(t)
 	r, now := New(), time.Unix(0, 0)
 	is.True(r.Mark("w1", messenger.SourceOperator, true))
-	r.PlatformList(list("w1", storer.HostLive), now)
-	r.PlatformList(list("w1", storer.HostLive), now.Add(2*ListSettleTime))
+	r.PlatformList(hostList("w1", storer.HostLive), now)
+	r.PlatformList(hostList("w1", storer.HostLive), now.Add(2*ListSettleTime))
 	is.True(r.Leaving("w1"))
 	is.True(r.Mark("w1", messenger.SourceOperator, false))
 	is.True(!r.Leaving("w1"))
 }
 
-// Guards against a restarted entry host staying out of service because its earlier
-// process was leaving.
-func TestNewIncarnationIsNotLeaving(t *testing.T) {
+// Guards against a restarted entry host that counts as leaving because its earlier process
+// was leaving, and against a wrong heartbeat timeout.
+func TestRestartWithdrawsOwnNotice(t *testing.T) {
 	is := is.New(t)
 	r, now := New(), time.Unix(0, 0)
 	r.Heard(messenger.Identity{Host: "e1", Incarnation: "a", Leaving: true}, now)
 	is.True(r.Leaving("e1"))
 	r.Heard(messenger.Identity{Host: "e1", Incarnation: "b"}, now)
 	is.True(!r.Leaving("e1"))
-	is.True(r.Alive("e1", now.Add(SilenceLimit-1)))
-	is.True(!r.Alive("e1", now.Add(SilenceLimit)))
+	is.True(r.Alive("e1", now.Add(HeartbeatTimeout-1)))
+	is.True(!r.Alive("e1", now.Add(HeartbeatTimeout)))
 }
 
-// Guards against views that stay different: whatever was marked where and however
-// heartbeats were reordered, a full exchange leaves all entry hosts with one view, and
-// the latest operator command that saw the others wins.
-func TestExchangeConverges(t *testing.T) {
+// Guards against entry hosts that never agree on the leaving hosts: after any marks and any
+// order of heartbeats, exchanges between all pairs make their views equal. Also guards against
+// an operator's mark that does not take effect at once on the host that receives it: the
+// latest command that knew of the earlier ones must win.
+func TestExchangedNoticesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
 		hosts := []*Registrar{New(), New(), New()}
@@ -89,7 +93,7 @@
 				leaving := rapid.Bool().Draw(t, "leaving")
 				hosts[i].Mark(w, messenger.SourceOperator, leaving)
 				if hosts[i].Leaving(w) != leaving {
-					t.Fatalf("mark %v of %s did not hold on the host that took it", leaving, w)
+					t.Fatalf("mark %v of %s did not take effect on the host that received it", leaving, w)
 				}
 				continue
 			}
@@ -111,11 +115,12 @@
 	})
 }
 
-// Guards against heartbeats and memory that grow with every host that ever restarted.
+// Guards against heartbeats and memory that grow with each restart of a host, because
+// withdrawn notices are kept.
 func TestWithdrawnNoticesAreBounded(t *testing.T) {
 	is := is.New(t)
 	a, b, now := New(), New(), time.Unix(0, 0)
-	for i := range 3 * maxWithdrawn {
+	for i := range 3 * maxWithdrawnNotices {
 		w := fmt.Sprint("w", i)
 		a.Mark(w, messenger.SourceOperator, true)
 		b.Heard(messenger.Identity{Host: "a", Notices: a.Notices()}, now)
@@ -123,16 +128,16 @@
 		b.Heard(messenger.Identity{Host: "a", Notices: a.Notices()}, now)
 		is.True(!b.Leaving(w))
 	}
-	is.Equal(len(a.Notices()), maxWithdrawn)
+	is.Equal(len(a.Notices()), maxWithdrawnNotices)
 	digest, _ := a.Exchange("b")
 	b.Heard(messenger.Identity{Host: "a", NoticeDigest: digest}, now)
 	_, notices := b.Exchange("a")
-	is.Equal(len(notices), 0) // equal views exchange nothing
+	is.Equal(len(notices), 0) // equal digests: no notices are sent
 }
 
-// Guards against a restarted entry host that adds its requests to those which its dead
-// process left at backend servers.
-func TestRequestsLeftBehind(t *testing.T) {
+// Guards against a restarted entry host that overloads backend servers, which still run
+// requests of its crashed process.
+func TestLeftBehindAfterRestart(t *testing.T) {
 	is := is.New(t)
 	r, now := New(), time.Unix(0, 0)
 	r.Heard(messenger.Identity{Host: "e1", Incarnation: "a"}, now)
@@ -143,6 +148,6 @@
 	now = now.Add(time.Second)
 	r.Heard(messenger.Identity{Host: "e1", Incarnation: "b", Drained: true}, now)
 	r.Heard(messenger.Identity{Host: "e1", Incarnation: "c"}, now)
-	is.Equal(r.LeftBehind("e1", time.Minute, now), 49*time.Second) // b drained, a did not
+	is.Equal(r.LeftBehind("e1", time.Minute, now), 49*time.Second) // process b drained, process a did not
 	is.Equal(r.LeftBehind("e1", time.Minute, now.Add(time.Minute)), time.Duration(0))
 }
