--- a/internal/proprietor/claim.go
+++ b/internal/proprietor/claim.go
@@ -18,64 +18,67 @@
 )
 
 const (
-	// watchEvery separates the watches of one host, so that the renewals of many
-	// shards cost at most two calls per second.
-	watchEvery = 500 * time.Millisecond
-	watchWait  = 10 * time.Second
-	// orphanAfter is the silence of an owner after which any entry host of the failure
-	// domain renews the leases of its instances.
-	orphanAfter = 60 * time.Second
-	orphanEvery = time.Minute
-	// orphanRenewBelow is the rest of an instance's lease below which it is renewed.
-	orphanRenewBelow = 6 * time.Minute
+	// watchInterval is the time between the end of one watch and the next. A watch ends with
+	// the first renewal of any shard; the interval limits a host to two calls per second.
+	watchInterval = 500 * time.Millisecond
+	// watchMaxWait is how long the store may delay its answer to a watch without events.
+	watchMaxWait = 10 * time.Second
+	// orphanTimeout is the time without an owner's heartbeat after which every entry host of
+	// the failure domain renews the leases of the shard's service instances.
+	orphanTimeout = 60 * time.Second
+	// orphanRenewalInterval is the time between checks for such instances.
+	orphanRenewalInterval = time.Minute
+	// orphanRenewalThreshold is the remaining lease time below which a lease is renewed.
+	orphanRenewalThreshold = 6 * time.Minute
 )
 
 func newRandom(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 0)) }
 
-// watchOwnDomain follows the journals of this failure domain.
+// watchOwnDomain watches the journals of this failure domain.
 func (p *Proprietor) watchOwnDomain(ctx context.Context) {
 	prefix := journalKey(p.settings.FailureDomain) + "/"
 	for ctx.Err() == nil {
-		after, ok := p.list(ctx, prefix, p.settings.FailureDomain)
+		after, ok := p.loadJournals(ctx, prefix, p.settings.FailureDomain)
 		for ok {
 			var events storer.Events
-			wait, cancel := context.WithTimeout(ctx, watchWait+callTimeout)
-			events, err := p.settings.Store.Watch(wait, prefix, after, watchWait)
+			wait, cancel := context.WithTimeout(ctx, watchMaxWait+callTimeout)
+			events, err := p.settings.Store.Watch(wait, prefix, after, watchMaxWait)
 			cancel()
 			ok = err == nil && !events.Compacted
 			for _, e := range events.Events {
-				p.read(e)
+				p.cacheEntry(e)
 			}
 			after = max(after, events.StoreRevision)
-			sleep(ctx, watchEvery)
+			sleep(ctx, watchInterval)
 		}
-		sleep(ctx, p.between(200*time.Millisecond, time.Second))
+		sleep(ctx, p.randomDuration(200*time.Millisecond, time.Second))
 	}
 }
 
-// watchPredecessors reads the journals of the failure domains whose jobs this one takes
-// over. A read every sixth of the delay finds a change in time.
-func (p *Proprietor) watchPredecessors(ctx context.Context) {
+// pollPredecessors reads the journals of the failure domains whose jobs this one may have to
+// import. Six reads per TTL of the lease for running tasks notice a renewal in time.
+func (p *Proprietor) pollPredecessors(ctx context.Context) {
 	for {
 		p.mutex.Lock()
-		c, every := p.config, p.recovery/6
+		c, every := p.config, p.runningTTL/6
 		p.mutex.Unlock()
 		if c == nil {
-			every = claimEvery
+			every = claimInterval
 		} else {
 			for _, d := range predecessors(c, p.settings.FailureDomain) {
-				p.list(ctx, journalKey(d)+"/", d)
+				p.loadJournals(ctx, journalKey(d)+"/", d)
 			}
-			p.takeOver(ctx)
+			p.importJobs(ctx)
 		}
-		if !sleep(ctx, max(every, claimEvery)) {
+		if !sleep(ctx, max(every, claimInterval)) {
 			return
 		}
 	}
 }
 
-// list reads all journals of a failure domain.
-func (p *Proprietor) list(ctx context.Context, prefix, domain string) (revision uint64, ok bool) {
+// loadJournals reads all journals of a failure domain. ok is false if the store did not
+// answer or there is no configuration yet.
+func (p *Proprietor) loadJournals(ctx context.Context, prefix, domain string) (revision uint64, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	entries, revision, err := p.settings.Store.List(ctx, prefix)
@@ -85,108 +88,111 @@
 	present := make(map[string]bool, len(entries))
 	for _, e := range entries {
 		present[e.Key] = true
-		p.read(e)
+		p.cacheEntry(e)
 	}
 	p.mutex.Lock()
 	c := p.config
 	p.mutex.Unlock()
 	if c == nil {
-		return 0, false // which journals are missing is not known yet
+		return 0, false // without the list of shards, missing journals cannot be detected
 	}
-	for _, name := range shardsOf(c, domain) {
+	for _, name := range shardNames(c, domain) {
 		if !present[journalKey(name)] {
-			p.read(storer.Entry{Key: journalKey(name), Deleted: true})
+			p.cacheEntry(storer.Entry{Key: journalKey(name), Deleted: true})
 		}
 	}
 	return revision, true
 }
 
-// read takes one journal value into account.
-func (p *Proprietor) read(e storer.Entry) {
+// cacheEntry updates the cached journal from a store entry.
+func (p *Proprietor) cacheEntry(e storer.Entry) {
 	shard := e.Key[len(journalKey("")):]
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.placing == nil {
+	if p.placingSuccessor == nil {
 		return
 	}
-	k := p.known[shard]
+	k := p.journals[shard]
 	if k == nil {
-		k = &knownShard{}
-		p.known[shard] = k
+		k = &cachedJournal{}
+		p.journals[shard] = k
 	}
 	if e.Revision < k.revision && !e.Deleted {
-		return // read before a later value
+		return // older than the cached version
 	}
 	j, revision := scheduler.Journal{Shard: shard}, uint64(0)
 	if !e.Deleted {
 		var err error
 		if j, err = scheduler.DecodeJournal(shard, e.Value); err != nil {
-			p.rejectLocked(k, shard, err)
+			p.rejectJournalLocked(k, shard, err)
 			return
 		}
 		revision = e.Revision
 	}
-	p.seenLocked(k, &j, revision, time.Now())
+	p.cacheJournalLocked(k, &j, revision, time.Now())
 }
 
-// reject logs once that a journal cannot be decoded. The value is left as it is.
-func (p *Proprietor) reject(shard string, err error) {
+// rejectJournal logs once that a journal cannot be decoded, and excludes the shard from
+// claims, so that the stored value is not overwritten.
+func (p *Proprietor) rejectJournal(shard string, err error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	k := p.known[shard]
+	k := p.journals[shard]
 	if k == nil {
-		k = &knownShard{}
-		p.known[shard] = k
+		k = &cachedJournal{}
+		p.journals[shard] = k
 	}
-	p.rejectLocked(k, shard, err)
+	p.rejectJournalLocked(k, shard, err)
 }
 
-func (p *Proprietor) rejectLocked(k *knownShard, shard string, err error) {
-	if !k.rejected {
+func (p *Proprietor) rejectJournalLocked(k *cachedJournal, shard string, err error) {
+	if !k.undecodable {
 		p.settings.Logger.Error("journal rejected", "Shard", shard, "Error", err)
 	}
-	k.rejected = true
+	k.undecodable = true
 }
 
-// claimLoop claims the shards of this failure domain whose owner's tenure has ended.
+// claimLoop claims the shards of this failure domain whose owner's lease has ended.
 func (p *Proprietor) claimLoop(ctx context.Context) {
-	for sleep(ctx, claimEvery) {
-		for _, name := range p.claimable(time.Now()) {
+	for sleep(ctx, claimInterval) {
+		for _, name := range p.selectClaims(time.Now()) {
 			p.background(func(ctx context.Context) { p.claim(ctx, name) })
 		}
 	}
 }
 
-// claimable returns the shards to be claimed and marks them busy.
-func (p *Proprietor) claimable(now time.Time) []string {
+// selectClaims returns the shards that this host may claim now and marks their claims as in
+// progress.
+func (p *Proprietor) selectClaims(now time.Time) []string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.config == nil || p.stopping {
 		return nil
 	}
 	var names []string
-	for _, name := range shardsOf(p.config, p.settings.FailureDomain) {
-		k := p.known[name]
-		if k == nil || k.busy || k.rejected || p.holdings[name] != nil || k.journal.MovedTo != "" {
+	for _, name := range shardNames(p.config, p.settings.FailureDomain) {
+		k := p.journals[name]
+		if k == nil || k.claimInProgress || k.undecodable || p.shards[name] != nil || k.journal.MovedTo != "" {
 			continue
 		}
-		if !p.mayFollow(k.journal.Owner, k.journal.Successors) {
+		if !p.mayClaimAfter(k.journal.Owner, k.journal.Successors) {
 			continue
 		}
-		at := now.Add(-p.stagger(name, k.journal.Owner))
-		released := k.revision != 0 && k.journal.Owner == "" && p.placing.MayClaimReleased(name, at)
-		if released || p.placing.MayClaim(name, at) {
-			k.busy = true
+		at := now.Add(-p.claimDelay(name, k.journal.Owner))
+		released := k.revision != 0 && k.journal.Owner == "" && p.placingSuccessor.MayClaimReleased(name, at)
+		if released || p.placingSuccessor.MayClaim(name, at) {
+			k.claimInProgress = true
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// mayFollow reports whether the journal's owner counted on a promise of this host: only
-// then is its tenure known to have ended. If none of the named hosts is configured any
-// more, nobody else could claim the shard.
-func (p *Proprietor) mayFollow(owner string, successors []string) bool {
+// mayClaimAfter reports whether this host may succeed the journal's owner. The owner's lease
+// is known to have ended only if the owner needs the promises of this host, that is, if the
+// journal lists it as a successor. A host that is not listed may claim the shard if neither
+// the owner nor any listed successor is configured any more, because nobody else could.
+func (p *Proprietor) mayClaimAfter(owner string, successors []string) bool {
 	if owner == "" || owner == p.settings.Host || len(successors) == 0 || slices.Contains(successors, p.settings.Host) {
 		return true
 	}
@@ -195,8 +201,10 @@
 	})
 }
 
-// stagger returns how long this host lets others go first. The last owner goes last.
-func (p *Proprietor) stagger(shard, owner string) time.Duration {
+// claimDelay returns how long this host waits before it claims a shard: one
+// claimDelayPerRank for each host of the failure domain, other than the last owner, that has
+// a higher hash with the shard's name.
+func (p *Proprietor) claimDelay(shard, owner string) time.Duration {
 	weight := func(host string) uint64 { return xxhash.Sum64String(host + "\x00" + shard) }
 	mine, rank := weight(p.settings.Host), 0
 	for _, h := range p.config.EntryHosts {
@@ -204,25 +212,25 @@
 			rank++
 		}
 	}
-	return time.Duration(rank) * claimStagger
+	return time.Duration(rank) * claimDelayPerRank
 }
 
-// claim takes over a shard by one compare-and-swap.
+// claim claims a shard by one compare-and-swap of its journal.
 func (p *Proprietor) claim(ctx context.Context, shard string) {
-	defer p.free(shard)
+	defer p.clearClaimInProgress(shard)
 	call, cancel := context.WithTimeout(ctx, callTimeout)
-	records, err := p.settings.Store.Get(call, recordsKey(shard))
+	records, err := p.settings.Store.Get(call, jobHistoryKey(shard))
 	cancel()
 	if err != nil {
-		sleep(ctx, p.between(200*time.Millisecond, 2*time.Second))
+		sleep(ctx, p.randomDuration(200*time.Millisecond, 2*time.Second))
 		return
 	}
 	p.mutex.Lock()
-	k := p.known[shard]
+	k := p.journals[shard]
 	before, expect := k.journal, k.revision
-	if !p.placing.MayClaim(shard, time.Now()) && before.Owner != "" {
+	if !p.placingSuccessor.MayClaim(shard, time.Now()) && before.Owner != "" {
 		p.mutex.Unlock()
-		return // the owner was heard of meanwhile
+		return // this host has promised or seen a renewal since selectClaims
 	}
 	j := before
 	j.Shard, j.Owner, j.Writer = shard, p.settings.Host, p.settings.Incarnation
@@ -230,44 +238,46 @@
 	j.Renewal++
 	j.Sequence++
 	j.Successors, j.RunningSuccessors = p.successors(p.config)
-	p.placing.Claiming(shard)
+	p.placingSuccessor.Claiming(shard)
 	p.mutex.Unlock()
-	revision, won, sentAt := p.swap(ctx, &j, expect)
-	p.resolved(&j, revision, won)
+	revision, won, sentAt := p.compareAndSwapJournal(ctx, &j, expect)
+	p.claimResolved(&j, revision, won)
 	if won {
-		p.own(j, before, records.Value, revision, sentAt)
+		p.startOwnership(j, before, records.Value, revision, sentAt)
 	}
 }
 
-// resolved ends a claim. A journal that was written counts as read at once, because this
-// host must not promise anything to the earlier owner any more.
-func (p *Proprietor) resolved(j *scheduler.Journal, revision uint64, won bool) {
+// claimResolved records that the outcome of a claim or import is known. If it succeeded, the
+// written journal is cached at once, so that this host makes no further promise to the
+// earlier owner.
+func (p *Proprietor) claimResolved(j *scheduler.Journal, revision uint64, won bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if won {
-		p.seenLocked(p.known[j.Shard], j, revision, time.Now())
+		p.cacheJournalLocked(p.journals[j.Shard], j, revision, time.Now())
 	}
-	p.placing.Resolved(j.Shard)
-	p.running.Resolved(j.Shard)
+	p.placingSuccessor.Resolved(j.Shard)
+	p.runningSuccessor.Resolved(j.Shard)
 }
 
-// seenLocked takes a version of a journal into account.
-func (p *Proprietor) seenLocked(k *knownShard, j *scheduler.Journal, revision uint64, now time.Time) {
-	k.journal, k.revision, k.rejected = *j, revision, false
+// cacheJournalLocked caches a version of a journal. The caller holds mutex.
+func (p *Proprietor) cacheJournalLocked(k *cachedJournal, j *scheduler.Journal, revision uint64, now time.Time) {
+	k.journal, k.revision, k.undecodable = *j, revision, false
 	v := keeper.Version{Epoch: j.Epoch, Renewal: j.Renewal, Writer: j.Writer, Sequence: j.Sequence}
-	p.placing.Seen(j.Shard, v, now)
-	p.running.Seen(j.Shard, v, now)
+	p.placingSuccessor.Seen(j.Shard, v, now)
+	p.runningSuccessor.Seen(j.Shard, v, now)
 }
 
-func (p *Proprietor) free(shard string) {
+// clearClaimInProgress allows the next claim or import of a shard.
+func (p *Proprietor) clearClaimInProgress(shard string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.known[shard].busy = false
+	p.journals[shard].claimInProgress = false
 }
 
-// swap writes a journal that this host does not own yet and reports whether it holds
-// afterwards. A lost answer is resolved by reading back.
-func (p *Proprietor) swap(ctx context.Context, j *scheduler.Journal, expect uint64) (revision uint64, won bool, sentAt time.Time) {
+// compareAndSwapJournal writes the journal of a shard that this host does not own and reports
+// whether the write took effect. If the answer is lost, it reads the journal back.
+func (p *Proprietor) compareAndSwapJournal(ctx context.Context, j *scheduler.Journal, expect uint64) (revision uint64, won bool, sentAt time.Time) {
 	value, err := j.Encode()
 	if err != nil {
 		return 0, false, time.Time{}
@@ -279,28 +289,28 @@
 	cancel()
 	if err == nil {
 		if !won {
-			p.reread(ctx, key)
+			p.refreshJournal(ctx, key)
 		}
 		return revision, won, sentAt
 	}
-	if refused(err) {
-		sleep(ctx, p.between(200*time.Millisecond, 2*time.Second))
+	if writeNotApplied(err) {
+		sleep(ctx, p.randomDuration(200*time.Millisecond, 2*time.Second))
 		return 0, false, sentAt
 	}
 	for ctx.Err() == nil {
-		entry, err := p.get(ctx, key)
+		entry, err := p.getEntry(ctx, key)
 		if err != nil {
-			sleep(ctx, p.between(200*time.Millisecond, 2*time.Second))
+			sleep(ctx, p.randomDuration(200*time.Millisecond, 2*time.Second))
 			continue
 		}
 		found, err := scheduler.DecodeJournal(j.Shard, entry.Value)
-		p.read(entry)
+		p.cacheEntry(entry)
 		return entry.Revision, err == nil && found.Writer == j.Writer && found.Sequence == j.Sequence, sentAt
 	}
 	return 0, false, sentAt
 }
 
-func (p *Proprietor) get(ctx context.Context, key string) (storer.Entry, error) {
+func (p *Proprietor) getEntry(ctx context.Context, key string) (storer.Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	e, err := p.settings.Store.Get(ctx, key)
@@ -308,136 +318,143 @@
 	return e, err
 }
 
-// reread brings the known value up to date after a lost race.
-func (p *Proprietor) reread(ctx context.Context, key string) {
-	if entry, err := p.get(ctx, key); err == nil {
-		p.read(entry)
+// refreshJournal reads the stored journal after another host's write won the
+// compare-and-swap.
+func (p *Proprietor) refreshJournal(ctx context.Context, key string) {
+	if entry, err := p.getEntry(ctx, key); err == nil {
+		p.cacheEntry(entry)
 	}
 }
 
-// lose ends the ownership of a shard that another host has written.
-func (p *Proprietor) lose(h *holding, j scheduler.Journal) {
-	p.recordClaim(h.name, "ClaimedByOther", fmt.Sprintf("epoch %d is over, owner is now %q", h.epoch, cmp.Or(j.Owner, j.MovedTo)))
-	h.mutex.Lock()
-	h.lost = true
-	h.mutex.Unlock()
-	h.step(scheduler.JournalLost{Owner: cmp.Or(j.Owner, j.MovedTo)})
-	p.drop(h)
+// loseShard ends the ownership of a shard whose journal another host has written.
+func (p *Proprietor) loseShard(o *ownedShard, j scheduler.Journal) {
+	p.recordOwnerChange(o.name, "ClaimedByOther", fmt.Sprintf("epoch %d superseded, new owner %q", o.epoch, cmp.Or(j.Owner, j.MovedTo)))
+	o.mutex.Lock()
+	o.lost = true
+	o.mutex.Unlock()
+	o.step(scheduler.JournalLost{Owner: cmp.Or(j.Owner, j.MovedTo)})
+	p.removeShard(o)
 }
 
-// dropIfReleased ends an ownership that was given up in writing.
-func (p *Proprietor) dropIfReleased(h *holding) {
-	h.mutex.Lock()
-	released := h.shard.Released()
+// removeIfReleased removes a shard once the stored journal says that this host released it.
+func (p *Proprietor) removeIfReleased(o *ownedShard) {
+	o.mutex.Lock()
+	released := o.shard.Released()
 	if released {
-		h.lost = true
+		o.lost = true
 	}
-	h.mutex.Unlock()
+	o.mutex.Unlock()
 	if released {
-		p.drop(h)
+		p.removeShard(o)
 	}
 }
 
-func (p *Proprietor) drop(h *holding) {
+// removeShard removes a shard from the owned ones and stops its goroutines.
+func (p *Proprietor) removeShard(o *ownedShard) {
 	p.mutex.Lock()
-	if p.holdings[h.name] == h {
-		delete(p.holdings, h.name)
+	if p.shards[o.name] == o {
+		delete(p.shards, o.name)
 	}
 	p.mutex.Unlock()
-	h.stop()
+	o.cancel()
 }
 
-// takeOver moves the jobs of shards in unresponsive failure domains to shards owned
-// here, and completes moves that were begun.
-func (p *Proprietor) takeOver(ctx context.Context) {
+// importJobs imports the jobs of shards in unresponsive failure domains into shards owned
+// here, and completes imports that were begun earlier.
+func (p *Proprietor) importJobs(ctx context.Context) {
 	p.mutex.Lock()
 	now := time.Now()
-	type move struct {
+	type shardImport struct {
 		journal  scheduler.Journal
 		revision uint64
-		target   *holding
+		target   *ownedShard
 	}
-	var moves []move
-	own := shardsOf(p.config, p.settings.FailureDomain)
+	var imports []shardImport
+	own := shardNames(p.config, p.settings.FailureDomain)
 	for _, d := range predecessors(p.config, p.settings.FailureDomain) {
-		for _, name := range shardsOf(p.config, d) {
-			k := p.known[name]
-			if k == nil || k.busy || k.rejected || len(k.journal.Jobs) == 0 {
+		for _, name := range shardNames(p.config, d) {
+			k := p.journals[name]
+			if k == nil || k.claimInProgress || k.undecodable || len(k.journal.Jobs) == 0 {
 				continue
 			}
-			target := p.holdings[cmp.Or(k.journal.MovedTo, rendezvous(name, own))]
+			target := p.shards[cmp.Or(k.journal.MovedTo, rendezvous(name, own))]
 			if target == nil {
 				continue
 			}
-			if k.journal.MovedTo == "" && !(p.running.MayClaim(name, now) && p.mayMove(k.journal.RunningSuccessors)) {
+			if k.journal.MovedTo == "" && !(p.runningSuccessor.MayClaim(name, now) && p.mayImport(k.journal.RunningSuccessors)) {
 				continue
 			}
-			k.busy = true
+			k.claimInProgress = true
 			if k.journal.MovedTo == "" {
-				p.running.Claiming(name)
+				p.runningSuccessor.Claiming(name)
 			}
-			moves = append(moves, move{k.journal, k.revision, target})
+			imports = append(imports, shardImport{k.journal, k.revision, target})
 		}
 	}
 	p.mutex.Unlock()
-	for _, m := range moves {
-		p.move(ctx, m.journal, m.revision, m.target)
+	for _, i := range imports {
+		p.importShard(ctx, i.journal, i.revision, i.target)
 	}
 }
 
-func (p *Proprietor) mayMove(successors []string) bool {
-	return p.mayFollow("", nil) && (len(successors) == 0 || slices.Contains(successors, p.settings.Host) ||
+// mayImport reports whether this host may import the jobs of a shard, by the same reasoning as
+// mayClaimAfter: successors are those that the journal lists for the lease for running tasks.
+func (p *Proprietor) mayImport(successors []string) bool {
+	return p.mayClaimAfter("", nil) && (len(successors) == 0 || slices.Contains(successors, p.settings.Host) ||
 		!slices.ContainsFunc(p.config.EntryHosts, func(h configurator.EntryHost) bool { return slices.Contains(successors, h.Name) }))
 }
 
-// move marks a journal as moved and imports its jobs.
-func (p *Proprietor) move(ctx context.Context, j scheduler.Journal, expect uint64, target *holding) {
-	defer p.free(j.Shard)
+// importShard marks a journal as moved, which ends its owner's rights, and adds its jobs to
+// the target shard.
+func (p *Proprietor) importShard(ctx context.Context, j scheduler.Journal, expect uint64, target *ownedShard) {
+	defer p.clearClaimInProgress(j.Shard)
 	if j.MovedTo == "" {
 		j.MovedTo, j.Owner, j.Writer = target.name, "", p.settings.Incarnation
 		j.Epoch++
 		j.Sequence++
-		revision, won, _ := p.swap(ctx, &j, expect)
-		p.resolved(&j, revision, won)
+		revision, won, _ := p.compareAndSwapJournal(ctx, &j, expect)
+		p.claimResolved(&j, revision, won)
 		if !won {
 			return
 		}
-		p.recordClaim(j.Shard, "MovedToSuccessor", fmt.Sprintf("failure domain does not respond; %d jobs go to %s", len(j.Jobs), target.name))
+		p.recordOwnerChange(j.Shard, "MovedToSuccessor", fmt.Sprintf("failure domain unresponsive, %d jobs moved to shard %s", len(j.Jobs), target.name))
 	}
 	target.step(scheduler.JobsImported{From: j.Shard, Jobs: j.Jobs})
 }
 
-// empty removes the imported jobs from a moved journal, so that it can be claimed again.
-func (p *Proprietor) empty(ctx context.Context, shard, target string) {
-	entry, err := p.get(ctx, journalKey(shard))
+// clearImportedJobs removes the imported jobs from a moved journal, so that the shard can be
+// claimed again.
+func (p *Proprietor) clearImportedJobs(ctx context.Context, shard, target string) {
+	entry, err := p.getEntry(ctx, journalKey(shard))
 	if err != nil {
-		return // the next pass imports again, which changes nothing, and comes back here
+		return // the next import of the same jobs has no effect and calls this again
 	}
 	j, err := scheduler.DecodeJournal(shard, entry.Value)
 	if err != nil || j.MovedTo != target {
 		return
 	}
 	j.Empty(p.settings.Incarnation)
-	if revision, won, _ := p.swap(ctx, &j, entry.Revision); won {
+	if revision, won, _ := p.compareAndSwapJournal(ctx, &j, entry.Revision); won {
 		value, err := j.Encode()
 		if err == nil {
-			p.read(storer.Entry{Key: journalKey(shard), Value: value, Revision: revision})
+			p.cacheEntry(storer.Entry{Key: journalKey(shard), Value: value, Revision: revision})
 		}
 	}
 }
 
-// renewOrphans renews the leases of service instances whose owner has not been heard
-// of. It needs no tenure, because duplicate instances are harmless.
-func (p *Proprietor) renewOrphans(ctx context.Context) {
-	for sleep(ctx, orphanEvery) {
-		for _, w := range p.orphans(time.Now()) {
+// renewOrphanedInstances renews the leases of service instances whose shard has no responsive
+// owner. It needs no ownership lease, because duplicate instances are harmless.
+func (p *Proprietor) renewOrphanedInstances(ctx context.Context) {
+	for sleep(ctx, orphanRenewalInterval) {
+		for _, w := range p.orphanedWorkers(time.Now()) {
 			p.renewInstances(ctx, w)
 		}
 	}
 }
 
-// orphans returns the workers of the failure domain's shards without a known owner.
-func (p *Proprietor) orphans(now time.Time) []configurator.Worker {
+// orphanedWorkers returns the workers of the shards of this failure domain whose owner has
+// sent no heartbeat for orphanTimeout.
+func (p *Proprietor) orphanedWorkers(now time.Time) []configurator.Worker {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.config == nil {
@@ -446,15 +463,16 @@
 	var ws []configurator.Worker
 	for _, w := range p.config.Workers {
 		shard := w.FailureDomain + "/" + w.Shard
-		o := p.heard[shard]
-		if w.FailureDomain == p.settings.FailureDomain && p.holdings[shard] == nil &&
-			now.Sub(o.at) > orphanAfter && now.Sub(p.start) > orphanAfter {
+		o := p.reportedOwners[shard]
+		if w.FailureDomain == p.settings.FailureDomain && p.shards[shard] == nil &&
+			now.Sub(o.at) > orphanTimeout && now.Sub(p.startedAt) > orphanTimeout {
 			ws = append(ws, w)
 		}
 	}
 	return ws
 }
 
+// renewInstances renews the leases of the service instances on a worker that end soon.
 func (p *Proprietor) renewInstances(ctx context.Context, w configurator.Worker) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -464,7 +482,7 @@
 	}
 	var cs []commander.Command
 	for _, t := range r.Tasks {
-		if t.Kind == commander.KindService && t.State.Active() && t.LeaseEnd-r.Clock < orphanRenewBelow {
+		if t.Kind == commander.KindService && t.State.Active() && t.LeaseEnd-r.Clock < orphanRenewalThreshold {
 			cs = append(cs, commander.Command{
 				Verb: commander.VerbRenew, Task: t.Task, Attempt: t.Attempt, Kind: t.Kind, Class: t.Class, Service: t.Service,
 				LeaseEnd: r.Clock + scheduler.ServiceLease, NotAfter: r.Clock + callTimeout,
@@ -474,7 +492,8 @@
 	if len(cs) == 0 {
 		return
 	}
-	// With the epoch that the worker has accepted, the renewal displaces no owner.
+	// The commands carry the epoch that the worker has accepted already, so that they fence
+	// off no owner.
 	if _, err := p.settings.Workers.Apply(ctx, w.Address, r.Epoch, p.settings.Host, cs); err != nil {
 		p.settings.Logger.Debug("instances not renewed", "Worker", w.Name, "Error", err)
 	}
--- a/internal/proprietor/proprietor.go
+++ b/internal/proprietor/proprietor.go
@@ -24,23 +24,23 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Settings are the fixed parameters of a Proprietor.
+// Settings configures a Proprietor and cannot change after New.
 type Settings struct {
 	Host          string // name of this entry host
 	FailureDomain string
-	Incarnation   string // unique for each process
+	Incarnation   string // identifies this process; unique for each process of the host
 	Store         storer.Store
 	Workers       commander.Workers
 	Random        *rand.Rand
 	Logger        *slog.Logger
-	// Record is called for every decision; it may be nil.
+	// Record is called with every decision record; it may be nil.
 	Record func(recorder.Record)
-	// NewPlacer makes the placer of a shard; nil is placer.New.
+	// NewPlacer returns the placer for a shard; nil selects placer.New.
 	NewPlacer func(shard string) scheduler.Placer
 }
 
-// NotOwnerError says that this host does not own the shard. Owner is the host that is
-// believed to own it, or empty.
+// NotOwnerError reports that this host does not own the shard. Owner is the shard's last
+// known owner, or empty.
 type NotOwnerError struct {
 	Shard string
 	Owner string
@@ -50,46 +50,48 @@
 	return fmt.Sprintf("shard %s is owned by %q, not by this host", e.Shard, e.Owner)
 }
 
-// ShardStatus describes a shard as this host knows it.
+// ShardStatus is the state of a shard according to this host. The fields from Epoch on are
+// set only if this host owns the shard.
 type ShardStatus struct {
 	Shard          string
 	Owner          string
 	Epoch          uint64
-	Placing        time.Time // end of the placing tenure, if owned here
-	Running        time.Time // end of the running tenure, if owned here
+	Placing        time.Time // end of the lease for placing tasks
+	Running        time.Time // end of the lease for running tasks
 	Workers        int
-	WorkersFenced  int
+	WorkersFenced  int // workers that have accepted this host's epoch
 	Jobs           map[scheduler.JobState]int
-	StoreAvailable bool
+	StoreAvailable bool // whether the last journal write succeeded
 }
 
-// API is what an entry host uses of a Proprietor.
+// API lists the methods of a Proprietor that an entry host calls.
 type API interface {
 	// Configure puts a configuration into effect.
 	Configure(c *configurator.Configuration)
-	// SetLeaving names all workers that are leaving.
+	// SetLeaving sets the complete list of leaving workers.
 	SetLeaving(workers []string)
-	// Claims returns what the next heartbeat asks promises for.
+	// Claims returns the owned shards for which the next heartbeat requests promises.
 	Claims() []messenger.ShardClaim
-	// Answered takes the promises of an answer to a heartbeat sent at sentAt.
+	// Answered records the promises in an answer to a heartbeat sent at sentAt.
 	Answered(sentAt time.Time, a messenger.HeartbeatAnswer)
-	// Promise answers the claims of a heartbeat.
+	// Promise returns the promises that this host can give to the sender of a heartbeat.
 	Promise(h messenger.Heartbeat) []messenger.Promise
-	// HomeShard returns the shard ("domain/shard") that lists the named job.
+	// HomeShard returns the shard ("domain/shard") that jobs of this name are submitted to.
 	HomeShard(job string) string
-	// Owner returns the host that is believed to own the shard, or "".
+	// Owner returns the last known owner of the shard, or "".
 	Owner(shard string) string
-	// Submit, Cancel and Job act on jobs of the shards owned here. Errors are
-	// *NotOwnerError and those of ctx.
+	// Submit and Cancel act on jobs of the shards owned here. They return *NotOwnerError
+	// or the error of ctx.
 	Submit(ctx context.Context, spec scheduler.JobSpec) (messenger.JobAnswer, error)
 	Cancel(ctx context.Context, name string) (messenger.JobAnswer, error)
 	// List returns the jobs of the shards owned here.
 	List(m messenger.ListRequest) []scheduler.JobStatus
-	// Endpoints returns the instances of the shards owned here.
+	// Endpoints returns the service instances of the shards owned here.
 	Endpoints() []messenger.Endpoint
-	// Shards returns the state of all shards, sorted by name.
+	// Shards returns the state of all configured shards, sorted by name.
 	Shards() []ShardStatus
-	// Release gives up all owned shards in writing, so that successors need not wait.
+	// Release writes to the store that this host gives up its shards, so that their
+	// successors need not wait for the leases to end.
 	Release(ctx context.Context) error
 }
 
@@ -98,58 +100,62 @@
 const (
 	// callTimeout bounds one call to the store or a worker.
 	callTimeout = time.Second
-	// poolSize is the number of goroutines that talk to workers. Each worker has at
-	// most one request of each kind outstanding, so that 64 suffice for a failure
-	// domain whose workers all answer at callTimeout.
-	poolSize  = 64
-	queueSize = 4096
-	// claimEvery is how often shards are checked for a claim.
-	claimEvery = 200 * time.Millisecond
-	// claimStagger separates the claims of the possible successors of one shard, so
-	// that normally only the first one calls the store.
-	claimStagger = 300 * time.Millisecond
-	// ownerFresh is the age up to which an owner's claim in a heartbeat is believed.
-	ownerFresh = 5 * time.Second
+	// workerCallConcurrency is the number of goroutines that call workers. Each worker has
+	// at most one outstanding request of each kind, so 64 goroutines suffice even if every
+	// worker of the failure domain answers only after callTimeout.
+	workerCallConcurrency = 64
+	// workerCallQueueCapacity is the number of calls that can wait for a goroutine.
+	workerCallQueueCapacity = 4096
+	// claimInterval is the time between checks for shards that can be claimed.
+	claimInterval = 200 * time.Millisecond
+	// claimDelayPerRank spaces the claims of the possible successors of one shard, so that
+	// normally only the first of them calls the store.
+	claimDelayPerRank = 300 * time.Millisecond
+	// reportedOwnerMaxAge is how long a host counts as the owner of a shard after a
+	// heartbeat in which it said so.
+	reportedOwnerMaxAge = 5 * time.Second
 )
 
-// Proprietor owns shards.
+// Proprietor claims shards and runs the ones that this host owns. It is safe for
+// concurrent use.
 type Proprietor struct {
-	settings Settings
-	start    time.Time
-	context  context.Context
-	group    *errgroup.Group
-	pool     chan func(context.Context)
-	closing  sync.Mutex
-	closed   bool // no goroutine is started any more
-
-	mutex    sync.Mutex
-	random   *rand.Rand
-	config   *configurator.Configuration
-	leaving  map[string]bool
-	placing  *keeper.Successor // nil before the first configuration
-	running  *keeper.Successor
-	ttl      time.Duration // of the placing tenure
-	recovery time.Duration // TTL of the running tenure
-	holdings map[string]*holding
-	known    map[string]*knownShard
-	heard    map[string]heardOwner
-	stopping bool // claims nothing any more
-}
-
-// knownShard is what was last read of a shard's journal.
-type knownShard struct {
-	journal  scheduler.Journal
-	revision uint64
-	rejected bool // the value cannot be decoded
-	busy     bool // a claim or an import is under way
-}
-
-type heardOwner struct {
+	settings    Settings
+	startedAt   time.Time
+	context     context.Context
+	group       *errgroup.Group
+	workerCalls chan func(context.Context)
+	closeMutex  sync.Mutex
+	closed      bool // set when stopping: no further goroutine may start
+
+	mutex            sync.Mutex
+	random           *rand.Rand
+	config           *configurator.Configuration
+	leaving          map[string]bool
+	placingSuccessor *keeper.Successor // leases for placing, in this failure domain; nil before the first configuration
+	runningSuccessor *keeper.Successor
+	placingTTL       time.Duration // TTL of the lease for placing tasks
+	runningTTL       time.Duration // TTL of the lease for running tasks
+	shards           map[string]*ownedShard
+	journals         map[string]*cachedJournal
+	reportedOwners   map[string]reportedOwner
+	stopping         bool // set by Release: no further claims
+}
+
+// cachedJournal is the latest version of a shard's journal that this host has read.
+type cachedJournal struct {
+	journal         scheduler.Journal
+	revision        uint64
+	undecodable     bool // the stored value cannot be decoded
+	claimInProgress bool // a claim of the shard or an import of its jobs is in progress
+}
+
+// reportedOwner is a host that claimed a shard in a heartbeat.
+type reportedOwner struct {
 	host string
 	at   time.Time
 }
 
-// New starts a Proprietor that owns nothing before Configure. The returned function
+// New starts a Proprietor, which claims no shard before Configure. The returned function
 // stops it and waits for its goroutines.
 func New(s Settings) (*Proprietor, func(), error) {
 	if s.Host == "" || s.FailureDomain == "" || s.Incarnation == "" || s.Store == nil || s.Workers == nil || s.Random == nil {
@@ -164,31 +170,31 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
 	p := &Proprietor{
-		settings: s, start: time.Now(), context: ctx, group: group, random: s.Random,
-		pool:    make(chan func(context.Context), queueSize),
-		leaving: make(map[string]bool), holdings: make(map[string]*holding),
-		known: make(map[string]*knownShard), heard: make(map[string]heardOwner),
+		settings: s, startedAt: time.Now(), context: ctx, group: group, random: s.Random,
+		workerCalls: make(chan func(context.Context), workerCallQueueCapacity),
+		leaving:     make(map[string]bool), shards: make(map[string]*ownedShard),
+		journals: make(map[string]*cachedJournal), reportedOwners: make(map[string]reportedOwner),
 	}
-	for range poolSize {
-		p.background(p.serve)
+	for range workerCallConcurrency {
+		p.background(p.runWorkerCalls)
 	}
 	p.background(p.watchOwnDomain)
-	p.background(p.watchPredecessors)
+	p.background(p.pollPredecessors)
 	p.background(p.claimLoop)
-	p.background(p.renewOrphans)
+	p.background(p.renewOrphanedInstances)
 	return p, func() {
-		p.closing.Lock()
+		p.closeMutex.Lock()
 		p.closed = true
-		p.closing.Unlock()
+		p.closeMutex.Unlock()
 		cancel()
 		_ = group.Wait() // the functions return no error
 	}, nil
 }
 
-// background runs f until the Proprietor stops.
+// background runs f in a goroutine, with a context that ends when the Proprietor stops.
 func (p *Proprietor) background(f func(ctx context.Context)) {
-	p.closing.Lock()
-	defer p.closing.Unlock()
+	p.closeMutex.Lock()
+	defer p.closeMutex.Unlock()
 	if p.closed {
 		return
 	}
@@ -198,19 +204,19 @@
 	})
 }
 
-// serve is one goroutine of the pool.
-func (p *Proprietor) serve(ctx context.Context) {
+// runWorkerCalls executes queued calls to workers until the Proprietor stops.
+func (p *Proprietor) runWorkerCalls(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case f := <-p.pool:
+		case f := <-p.workerCalls:
 			f(ctx)
 		}
 	}
 }
 
-// sleep waits for d and reports whether the Proprietor still runs.
+// sleep waits for d and reports whether ctx was still active at the end.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -222,60 +228,62 @@
 	}
 }
 
-// between returns a random duration in [low, high).
-func (p *Proprietor) between(low, high time.Duration) time.Duration {
+// randomDuration returns a random duration in [low, high).
+func (p *Proprietor) randomDuration(low, high time.Duration) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return low + time.Duration(p.random.Int64N(int64(high-low)))
 }
 
-// Configure puts a configuration into effect. The TTLs of the first one stay in effect
-// until the process restarts: an owner and a successor that disagree on a TTL could
-// both act.
+// Configure puts a configuration into effect. The lease TTLs of the first configuration
+// stay in effect until the process restarts: with different TTLs, an owner and its
+// successor could act on a shard at the same time.
 func (p *Proprietor) Configure(c *configurator.Configuration) {
 	p.mutex.Lock()
-	if p.placing == nil {
-		p.ttl = cmp.Or(c.Policy.OwnershipTTL, configurator.DefaultOwnershipTTL)
-		p.recovery = cmp.Or(c.Policy.JobRecoveryDelay, configurator.DefaultJobRecoveryDelay)
-		p.placing = keeper.NewSuccessor(p.ttl, p.start)
-		p.running = keeper.NewSuccessor(p.recovery, p.start)
+	if p.placingSuccessor == nil {
+		p.placingTTL = cmp.Or(c.Policy.OwnershipTTL, configurator.DefaultOwnershipTTL)
+		p.runningTTL = cmp.Or(c.Policy.JobRecoveryDelay, configurator.DefaultJobRecoveryDelay)
+		p.placingSuccessor = keeper.NewSuccessor(p.placingTTL, p.startedAt)
+		p.runningSuccessor = keeper.NewSuccessor(p.runningTTL, p.startedAt)
 	}
 	p.config = c
-	hs, leaving := p.sortedHoldings(), p.leaving
+	owned, leaving := p.sortedShardsLocked(), p.leaving
 	p.mutex.Unlock()
-	for _, h := range hs {
-		h.step(scheduler.ConfigurationChanged{Configuration: c})
-		for w := range leaving { // it may be a worker that the configuration added
-			h.step(scheduler.HostLeaving{Worker: w, Leaving: true})
+	for _, o := range owned {
+		o.step(scheduler.ConfigurationChanged{Configuration: c})
+		for w := range leaving { // the configuration may have added a leaving worker
+			o.step(scheduler.HostLeaving{Worker: w, Leaving: true})
 		}
-		h.setSuccessors(p.successors(c))
+		o.setSuccessors(p.successors(c))
 	}
 }
 
-// sortedHoldings requires mutex.
-func (p *Proprietor) sortedHoldings() []*holding {
-	hs := make([]*holding, 0, len(p.holdings))
-	for _, h := range p.holdings {
-		hs = append(hs, h)
+// sortedShardsLocked returns the owned shards, sorted by name. The caller holds mutex.
+func (p *Proprietor) sortedShardsLocked() []*ownedShard {
+	owned := make([]*ownedShard, 0, len(p.shards))
+	for _, o := range p.shards {
+		owned = append(owned, o)
 	}
-	slices.SortFunc(hs, func(a, b *holding) int { return cmp.Compare(a.name, b.name) })
-	return hs
+	slices.SortFunc(owned, func(a, b *ownedShard) int { return cmp.Compare(a.name, b.name) })
+	return owned
 }
 
-// owned returns the holdings, sorted by name.
-func (p *Proprietor) owned() []*holding {
+// ownedShards returns the owned shards, sorted by name.
+func (p *Proprietor) ownedShards() []*ownedShard {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.sortedHoldings()
+	return p.sortedShardsLocked()
 }
 
-func (p *Proprietor) holding(shard string) *holding {
+// ownedShard returns the named shard, or nil if this host does not own it.
+func (p *Proprietor) ownedShard(shard string) *ownedShard {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.holdings[shard]
+	return p.shards[shard]
 }
 
-// successors returns the hosts that may take over a shard of this failure domain.
+// successors returns the hosts that may claim a shard of this failure domain (placing) and
+// those that may import its jobs (running).
 func (p *Proprietor) successors(c *configurator.Configuration) (placing, running []string) {
 	next := ""
 	for _, d := range c.FailureDomains {
@@ -296,7 +304,7 @@
 	return placing, running
 }
 
-// SetLeaving names all workers that are leaving.
+// SetLeaving sets the complete list of leaving workers.
 func (p *Proprietor) SetLeaving(workers []string) {
 	p.mutex.Lock()
 	before := p.leaving
@@ -305,50 +313,51 @@
 		p.leaving[w] = true
 	}
 	now := p.leaving
-	hs := p.sortedHoldings()
+	owned := p.sortedShardsLocked()
 	p.mutex.Unlock()
-	for _, h := range hs {
+	for _, o := range owned {
 		for w := range before {
 			if !now[w] {
-				h.step(scheduler.HostLeaving{Worker: w})
+				o.step(scheduler.HostLeaving{Worker: w})
 			}
 		}
 		for w := range now {
-			h.step(scheduler.HostLeaving{Worker: w, Leaving: true})
+			o.step(scheduler.HostLeaving{Worker: w, Leaving: true})
 		}
 	}
 }
 
-// Claims returns what the next heartbeat asks promises for.
+// Claims returns the owned shards for which the next heartbeat requests promises.
 func (p *Proprietor) Claims() []messenger.ShardClaim {
 	var cs []messenger.ShardClaim
-	for _, h := range p.owned() {
+	for _, o := range p.ownedShards() {
 		cs = append(cs, messenger.ShardClaim{
-			Shard: h.name, Epoch: h.epoch,
+			Shard: o.name, Epoch: o.epoch,
 			Kinds: []messenger.TenureKind{messenger.TenurePlacing, messenger.TenureRunning},
 		})
 	}
 	return cs
 }
 
-// Answered takes the promises of an answer to a heartbeat that was sent at sentAt.
+// Answered records the promises in an answer to a heartbeat that was sent at sentAt.
 func (p *Proprietor) Answered(sentAt time.Time, a messenger.HeartbeatAnswer) {
 	for _, m := range a.Promises {
-		if h := p.holding(m.Shard); h != nil && h.epoch == m.Epoch {
-			h.promised(a.Host, m.Kind, sentAt)
+		if o := p.ownedShard(m.Shard); o != nil && o.epoch == m.Epoch {
+			o.recordPromise(a.Host, m.Kind, sentAt)
 		}
 	}
 }
 
-// Promise answers the claims of a heartbeat.
+// Promise returns the promises that this host can give to the sender of a heartbeat: not
+// to claim the sender's shards for one TTL.
 func (p *Proprietor) Promise(m messenger.Heartbeat) []messenger.Promise {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := time.Now()
 	var ps []messenger.Promise
 	for _, c := range m.Claims {
-		p.heard[c.Shard] = heardOwner{m.Host, now}
-		if p.placing == nil || p.holdings[c.Shard] != nil {
+		p.reportedOwners[c.Shard] = reportedOwner{m.Host, now}
+		if p.placingSuccessor == nil || p.shards[c.Shard] != nil {
 			continue
 		}
 		for _, k := range c.Kinds {
@@ -360,19 +369,20 @@
 	return ps
 }
 
-// successorFor returns the rules that bind this host for shards of a failure domain,
-// or nil if it is no possible successor there.
+// successorFor returns the successor state of this host for shards of a failure domain, or
+// nil if this host cannot succeed their owners.
 func (p *Proprietor) successorFor(domain string, k messenger.TenureKind) *keeper.Successor {
 	switch {
 	case k == messenger.TenurePlacing && domain == p.settings.FailureDomain:
-		return p.placing
+		return p.placingSuccessor
 	case k == messenger.TenureRunning && slices.Contains(predecessors(p.config, p.settings.FailureDomain), domain):
-		return p.running
+		return p.runningSuccessor
 	}
 	return nil
 }
 
-// predecessors returns the failure domains whose jobs this one takes over.
+// predecessors returns the failure domains that name the given one as their successor. If
+// they stop responding, its hosts import their jobs.
 func predecessors(c *configurator.Configuration, domain string) []string {
 	var ds []string
 	for _, d := range c.FailureDomains {
@@ -388,8 +398,9 @@
 	return domain
 }
 
-// shardsOf returns the configured shards, of one failure domain or ("") of all, sorted.
-func shardsOf(c *configurator.Configuration, domain string) []string {
+// shardNames returns the configured shards of a failure domain, or of all if domain is "",
+// sorted.
+func shardNames(c *configurator.Configuration, domain string) []string {
 	seen := make(map[string]bool)
 	var names []string
 	for _, w := range c.Workers {
@@ -403,7 +414,7 @@
 	return names
 }
 
-// rendezvous returns the candidate with the highest hash of itself and key.
+// rendezvous chooses a candidate for key by rendezvous hashing.
 func rendezvous(key string, candidates []string) string {
 	best, weight := "", uint64(0)
 	for _, c := range candidates {
@@ -414,8 +425,8 @@
 	return best
 }
 
-// HomeShard returns the shard ("domain/shard") that lists the named job, or "" without
-// a configuration.
+// HomeShard returns the shard ("domain/shard") that jobs of this name are submitted to, or
+// "" before the first configuration.
 func (p *Proprietor) HomeShard(job string) string {
 	p.mutex.Lock()
 	c := p.config
@@ -423,51 +434,52 @@
 	if c == nil {
 		return ""
 	}
-	return rendezvous(job, shardsOf(c, ""))
+	return rendezvous(job, shardNames(c, ""))
 }
 
-// Owner returns the host that is believed to own the shard, or "".
+// Owner returns the last known owner of the shard, or "".
 func (p *Proprietor) Owner(shard string) string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.holdings[shard] != nil {
+	if p.shards[shard] != nil {
 		return p.settings.Host
 	}
-	if o, ok := p.heard[shard]; ok && time.Since(o.at) < ownerFresh {
+	if o, ok := p.reportedOwners[shard]; ok && time.Since(o.at) < reportedOwnerMaxAge {
 		return o.host
 	}
-	if k := p.known[shard]; k != nil && k.journal.Owner != p.settings.Host {
+	if k := p.journals[shard]; k != nil && k.journal.Owner != p.settings.Host {
 		return k.journal.Owner
 	}
 	return ""
 }
 
-// Submit asks for a job to be run and waits until the journal lists it.
+// Submit submits a job to its home shard and waits until the shard accepts or rejects it.
+// An accepted job is in the stored journal.
 func (p *Proprietor) Submit(ctx context.Context, spec scheduler.JobSpec) (messenger.JobAnswer, error) {
 	shard := p.HomeShard(spec.Name)
-	h := p.holding(shard)
-	if h == nil {
+	o := p.ownedShard(shard)
+	if o == nil {
 		return messenger.JobAnswer{}, &NotOwnerError{Shard: shard, Owner: p.Owner(shard)}
 	}
-	return h.ask(ctx, func(request uint64) scheduler.Event {
+	return o.awaitAnswer(ctx, func(request uint64) scheduler.Event {
 		return scheduler.JobSubmitted{Request: request, Spec: spec}
 	})
 }
 
-// Cancel asks for a job to be ended and waits until the journal says so. The job may
-// have been taken over from its home shard.
+// Cancel cancels a job and waits until the stored journal holds the cancellation. The job
+// may be in another shard than its home shard, which imported it.
 func (p *Proprietor) Cancel(ctx context.Context, name string) (messenger.JobAnswer, error) {
 	shard := p.HomeShard(name)
-	h := p.holding(shard)
-	for _, o := range p.owned() {
-		if _, ok := o.job(name); ok {
-			h = o
+	o := p.ownedShard(shard)
+	for _, s := range p.ownedShards() {
+		if _, ok := s.job(name); ok {
+			o = s
 		}
 	}
-	if h == nil {
+	if o == nil {
 		return messenger.JobAnswer{}, &NotOwnerError{Shard: shard, Owner: p.Owner(shard)}
 	}
-	return h.ask(ctx, func(request uint64) scheduler.Event {
+	return o.awaitAnswer(ctx, func(request uint64) scheduler.Event {
 		return scheduler.CancellationAsked{Request: request, Name: name}
 	})
 }
@@ -475,10 +487,10 @@
 // List returns the jobs of the shards owned here.
 func (p *Proprietor) List(m messenger.ListRequest) []scheduler.JobStatus {
 	var js []scheduler.JobStatus
-	for _, h := range p.owned() {
+	for _, o := range p.ownedShards() {
 		if m.Name == "" {
-			js = append(js, h.jobs()...)
-		} else if j, ok := h.job(m.Name); ok {
+			js = append(js, o.jobs()...)
+		} else if j, ok := o.job(m.Name); ok {
 			js = append(js, j)
 		}
 	}
@@ -488,17 +500,17 @@
 	return js
 }
 
-// Endpoints returns the instances of the shards owned here.
+// Endpoints returns the service instances of the shards owned here.
 func (p *Proprietor) Endpoints() []messenger.Endpoint {
 	p.mutex.Lock()
 	c := p.config
 	p.mutex.Unlock()
 	var es []messenger.Endpoint
-	for _, h := range p.owned() {
-		for _, e := range h.published() {
+	for _, o := range p.ownedShards() {
+		for _, e := range o.publishedEndpoints() {
 			m := messenger.Endpoint{
 				Instance: e.Instance, Service: e.Service, FailureDomain: p.settings.FailureDomain, Worker: e.Worker,
-				Shard: h.name, Address: e.Address.String(), Draining: e.Draining, Slowdown: e.Slowdown,
+				Shard: o.name, Address: e.Address.String(), Draining: e.Draining, Slowdown: e.Slowdown,
 			}
 			for _, v := range c.Services {
 				if v.Name == e.Service {
@@ -520,26 +532,26 @@
 		return nil
 	}
 	var ss []ShardStatus
-	for _, name := range shardsOf(c, "") {
+	for _, name := range shardNames(c, "") {
 		s := ShardStatus{Shard: name, Owner: p.Owner(name)}
-		if h := p.holding(name); h != nil {
-			h.describe(&s)
+		if o := p.ownedShard(name); o != nil {
+			o.fillStatus(&s)
 		}
 		ss = append(ss, s)
 	}
 	return ss
 }
 
-// Release gives up all owned shards in writing, so that successors need not wait for
-// the end of the tenure. This process claims nothing afterwards.
+// Release writes to the store that this host gives up its shards, so that their successors
+// need not wait for the leases to end. This process claims no shard afterwards.
 func (p *Proprietor) Release(ctx context.Context) error {
 	p.mutex.Lock()
 	p.stopping = true
 	p.mutex.Unlock()
-	for _, h := range p.owned() {
-		h.step(scheduler.Released{})
+	for _, o := range p.ownedShards() {
+		o.step(scheduler.Released{})
 	}
-	for len(p.owned()) > 0 {
+	for len(p.ownedShards()) > 0 {
 		if !sleep(ctx, scheduler.TickInterval) {
 			return ctx.Err()
 		}
