--- a/internal/proprietor/fake_test.go
+++ b/internal/proprietor/fake_test.go
@@ -19,83 +19,84 @@
 	"peridotpitch/internal/storer"
 )
 
-// world is a set of fakes with a shared list of violated invariants.
-type world struct {
-	mutex      sync.Mutex
-	config     *configurator.Configuration
-	entries    map[string]storer.Entry
-	revision   uint64
-	calls      map[string]int   // store calls by kind
-	writes     map[string][]int // by second and key: for the bound on writes
-	total      map[int]int      // writes by second
-	tenths     map[int]int      // writes by 100 ms
-	claims     []claim
-	begin      time.Time
-	workers    map[netip.AddrPort]*fakeWorker
-	hosts      map[string]*fakeHost
-	cut        map[string]bool // "a>b": messages from a to b are lost
-	delay      map[string]time.Duration
-	loseAnswer int             // next compare-and-swaps whose answer is lost after the effect
-	cancelled  map[string]bool // jobs whose cancellation was acknowledged
-	finished   map[string]int
-	starts     map[string]int
-	unlisted   int             // starts that no journal showed
-	unseen     bool            // attempts without a journal entry may be lost with their workers, and their numbers used again
-	ended      map[string]bool // jobs whose end is in a journal
-	violations []string
-}
-
-// claim is a claim of shard a/0: when it was sent, and when its host was first seen
-// acting on it.
-type claim struct {
-	host        string
-	epoch       uint64
-	sent, acted time.Duration
+// cluster simulates the entry hosts, workers and store of two failure domains, and collects
+// violations of invariants.
+type cluster struct {
+	mutex                sync.Mutex
+	config               *configurator.Configuration
+	storeEntries         map[string]storer.Entry
+	revision             uint64
+	storeCalls           map[string]int   // by kind of call
+	writesPerSecond      map[string][]int // writes to the store by key, one element for each second
+	totalWritesPerSecond map[int]int      // by second
+	totalWritesPer100ms  map[int]int      // by interval of 100 ms
+	claims               []recordedClaim
+	startedAt            time.Time
+	workers              map[netip.AddrPort]*fakeWorker
+	hosts                map[string]*fakeHost
+	cutLinks             map[string]bool // "a>b": messages from a to b are lost
+	delays               map[string]time.Duration
+	answersToLose        int             // number of following compare-and-swaps that take effect but whose answer is lost
+	cancelledJobs        map[string]bool // jobs whose cancellation an entry host has acknowledged
+	finishesByTask       map[string]int
+	startsByTask         map[string]int
+	unlistedStarts       int             // starts of attempts that were in no stored journal
+	allowLostAttempts    bool            // a lost attempt that is in no journal may have its number used again
+	endedJobs            map[string]bool // jobs that have ended according to a stored journal
+	violations           []string
+}
+
+// recordedClaim is a claim of shard a/0, with the time when it was sent and the time of the
+// first heartbeat in which its host claimed the shard in that epoch.
+type recordedClaim struct {
+	host               string
+	epoch              uint64
+	sentAt, firstActed time.Duration
 }
 
 type fakeHost struct {
 	name, domain string
-	p            *proprietor.Proprietor
+	proprietor   *proprietor.Proprietor
 	stop         func()
 	paused       bool
-	started      time.Time
+	startedAt    time.Time
 }
 
-func newWorld(c *configurator.Configuration) *world {
-	w := &world{
-		config: c, entries: make(map[string]storer.Entry), calls: make(map[string]int), writes: make(map[string][]int),
-		total: make(map[int]int), tenths: make(map[int]int), begin: time.Now(), workers: make(map[netip.AddrPort]*fakeWorker), hosts: make(map[string]*fakeHost),
-		cut: make(map[string]bool), delay: make(map[string]time.Duration), cancelled: make(map[string]bool), finished: make(map[string]int), ended: make(map[string]bool), starts: make(map[string]int),
+func newCluster(c *configurator.Configuration) *cluster {
+	cl := &cluster{
+		config: c, storeEntries: make(map[string]storer.Entry), storeCalls: make(map[string]int), writesPerSecond: make(map[string][]int),
+		totalWritesPerSecond: make(map[int]int), totalWritesPer100ms: make(map[int]int), startedAt: time.Now(), workers: make(map[netip.AddrPort]*fakeWorker), hosts: make(map[string]*fakeHost),
+		cutLinks: make(map[string]bool), delays: make(map[string]time.Duration), cancelledJobs: make(map[string]bool), finishesByTask: make(map[string]int), endedJobs: make(map[string]bool), startsByTask: make(map[string]int),
 	}
 	for _, cw := range c.Workers {
-		w.workers[cw.Address] = &fakeWorker{world: w, name: cw.Name, capacity: cw.Capacity, incarnation: "1", born: time.Now(), tasks: make(map[string]*fakeTask)}
+		cl.workers[cw.Address] = &fakeWorker{cl: cl, name: cw.Name, capacity: cw.Capacity, incarnation: "1", startedAt: time.Now(), tasks: make(map[string]*fakeTask)}
 	}
-	return w
+	return cl
 }
 
-func (w *world) violate(format string, args ...any) {
-	w.violations = append(w.violations, fmt.Sprintf("%s: ", time.Since(w.begin))+fmt.Sprintf(format, args...))
+func (cl *cluster) addViolation(format string, args ...any) {
+	cl.violations = append(cl.violations, fmt.Sprintf("%s: ", time.Since(cl.startedAt))+fmt.Sprintf(format, args...))
 }
 
-// set runs f with the world's lock.
-func (w *world) set(f func()) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+// locked runs f while it holds the mutex.
+func (cl *cluster) locked(f func()) {
+	cl.mutex.Lock()
+	defer cl.mutex.Unlock()
 	f()
 }
 
-// partition cuts or restores the messages between two names in both directions.
-func (w *world) partition(a, b string, cut bool) {
-	w.set(func() { w.cut[a+">"+b], w.cut[b+">"+a] = cut, cut })
+// setPartitioned cuts or restores the messages between two hosts in both directions.
+func (cl *cluster) setPartitioned(a, b string, cut bool) {
+	cl.locked(func() { cl.cutLinks[a+">"+b], cl.cutLinks[b+">"+a] = cut, cut })
 }
 
-// resumed waits while the host is paused: a message whose sender was paused after its
-// last check is sent when the sender resumes.
-func (w *world) resumed(h *fakeHost) {
+// waitWhilePaused waits until the host is not paused. It simulates a process that is paused
+// between its last lease check and the sending of a message, and sends it when it resumes.
+func (cl *cluster) waitWhilePaused(h *fakeHost) {
 	for {
-		w.mutex.Lock()
+		cl.mutex.Lock()
 		paused := h.paused
-		w.mutex.Unlock()
+		cl.mutex.Unlock()
 		if !paused {
 			return
 		}
@@ -103,54 +104,57 @@
 	}
 }
 
-// isolate cuts or restores the messages between each of the names and all others whose
-// name does not start with the given prefix.
-func (w *world) isolate(names []string, inside string, cut bool) {
+// setIsolated cuts or restores the messages between each of the named hosts and all others,
+// including the store, except for the entry hosts and workers of failure domain inside ("":
+// none).
+func (cl *cluster) setIsolated(names []string, inside string, cut bool) {
 	others := []string{"store"}
-	for _, h := range w.config.EntryHosts {
+	for _, h := range cl.config.EntryHosts {
 		others = append(others, h.Name)
 	}
-	for _, o := range w.config.Workers {
+	for _, o := range cl.config.Workers {
 		others = append(others, o.Name)
 	}
 	for _, n := range names {
 		for _, o := range others {
 			if inside == "" || !strings.HasPrefix(o, inside) && !strings.HasPrefix(o, "w"+inside) {
-				w.partition(n, o, cut)
+				cl.setPartitioned(n, o, cut)
 			}
 		}
 	}
 }
 
-// restart replaces a worker's process: its tasks, its epoch and its clock are gone.
-func (w *world) restart(name string) {
-	w.set(func() {
-		for _, o := range w.workers {
+// restartWorker simulates a restart of a worker's process, which loses its tasks, its epoch
+// and its clock.
+func (cl *cluster) restartWorker(name string) {
+	cl.locked(func() {
+		for _, o := range cl.workers {
 			if o.name == name {
-				o.tasks, o.epoch, o.born = make(map[string]*fakeTask), 0, time.Now()
+				o.tasks, o.epoch, o.startedAt = make(map[string]*fakeTask), 0, time.Now()
 				o.incarnation += "1"
 			}
 		}
 	})
 }
 
-func (w *world) start(name string) *fakeHost {
+// startHost starts an entry host with a new Proprietor.
+func (cl *cluster) startHost(name string) *fakeHost {
 	domain := ""
-	for _, h := range w.config.EntryHosts {
+	for _, h := range cl.config.EntryHosts {
 		if h.Name == name {
 			domain = h.FailureDomain
 		}
 	}
-	h := &fakeHost{name: name, domain: domain, started: time.Now()}
-	seed := uint64(len(name)) + uint64(time.Since(w.begin))
+	h := &fakeHost{name: name, domain: domain, startedAt: time.Now()}
+	seed := uint64(len(name)) + uint64(time.Since(cl.startedAt))
 	p, stop, err := proprietor.New(proprietor.Settings{
-		Host: name, FailureDomain: domain, Incarnation: fmt.Sprintf("%s-%d", name, time.Since(w.begin)),
-		Store: &fakeStore{w, h}, Workers: &fakeTransport{w, h}, Random: rand.New(rand.NewPCG(seed, 1)),
+		Host: name, FailureDomain: domain, Incarnation: fmt.Sprintf("%s-%d", name, time.Since(cl.startedAt)),
+		Store: &fakeStore{cl, h}, Workers: &fakeWorkerClient{cl, h}, Random: rand.New(rand.NewPCG(seed, 1)),
 	})
 	if err != nil {
 		panic(err)
 	}
-	h.p = p
+	h.proprietor = p
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	h.stop = sync.OnceFunc(func() {
@@ -158,55 +162,55 @@
 		stop()
 		<-done
 	})
-	p.Configure(w.config)
-	w.set(func() { w.hosts[name] = h })
+	p.Configure(cl.config)
+	cl.locked(func() { cl.hosts[name] = h })
 	go func() {
 		defer close(done)
-		w.beat(ctx, h)
+		cl.exchangeHeartbeats(ctx, h)
 	}()
 	return h
 }
 
-// kill stops a host without notice.
-func (w *world) kill(name string) {
-	w.mutex.Lock()
-	h := w.hosts[name]
-	delete(w.hosts, name)
-	w.mutex.Unlock()
+// killHost simulates the crash of an entry host.
+func (cl *cluster) killHost(name string) {
+	cl.mutex.Lock()
+	h := cl.hosts[name]
+	delete(cl.hosts, name)
+	cl.mutex.Unlock()
 	if h != nil {
 		h.stop()
 	}
 }
 
-func (w *world) stopAll() {
-	for _, h := range w.config.EntryHosts {
-		w.kill(h.Name)
+func (cl *cluster) stopAllHosts() {
+	for _, h := range cl.config.EntryHosts {
+		cl.killHost(h.Name)
 	}
 }
 
-// beat exchanges heartbeats like the server does.
-func (w *world) beat(ctx context.Context, h *fakeHost) {
+// exchangeHeartbeats exchanges heartbeats with the other entry hosts, as package server does.
+func (cl *cluster) exchangeHeartbeats(ctx context.Context, h *fakeHost) {
 	for ctx.Err() == nil {
 		sentAt := time.Now()
-		m := messenger.Heartbeat{Identity: messenger.Identity{Host: h.name, FailureDomain: h.domain}, Claims: h.p.Claims()}
-		w.mutex.Lock()
+		m := messenger.Heartbeat{Identity: messenger.Identity{Host: h.name, FailureDomain: h.domain}, Claims: h.proprietor.Claims()}
+		cl.mutex.Lock()
 		for _, c := range m.Claims {
-			w.acting(h.name, c)
+			cl.recordActing(h.name, c)
 		}
 		var peers []*fakeHost
-		for _, o := range w.hosts {
-			if o != h && !w.cut[h.name+">"+o.name] && !h.paused && !o.paused {
+		for _, o := range cl.hosts {
+			if o != h && !cl.cutLinks[h.name+">"+o.name] && !h.paused && !o.paused {
 				peers = append(peers, o)
 			}
 		}
-		w.mutex.Unlock()
+		cl.mutex.Unlock()
 		for _, o := range peers {
-			a := messenger.HeartbeatAnswer{Identity: messenger.Identity{Host: o.name}, Promises: o.p.Promise(m)}
-			w.mutex.Lock()
-			lost := w.cut[o.name+">"+h.name]
-			w.mutex.Unlock()
+			a := messenger.HeartbeatAnswer{Identity: messenger.Identity{Host: o.name}, Promises: o.proprietor.Promise(m)}
+			cl.mutex.Lock()
+			lost := cl.cutLinks[o.name+">"+h.name]
+			cl.mutex.Unlock()
 			if !lost {
-				h.p.Answered(sentAt, a)
+				h.proprietor.Answered(sentAt, a)
 			}
 		}
 		select {
@@ -216,69 +220,70 @@
 	}
 }
 
-// acting notes that a host acts as the owner of a shard. A host that acts without a
-// claim in the store adds a claim that the history cannot explain.
-func (w *world) acting(host string, c messenger.ShardClaim) {
+// recordActing records that a host acts as the owner of a shard. If the store holds no claim of
+// that host and epoch, it records an additional one, which makes the history of claims
+// invalid.
+func (cl *cluster) recordActing(host string, c messenger.ShardClaim) {
 	if c.Shard != "a/0" {
 		return
 	}
-	for i := range w.claims {
-		if k := &w.claims[i]; k.host == host && k.epoch == c.Epoch {
-			k.acted = min(k.acted, time.Since(w.begin))
+	for i := range cl.claims {
+		if k := &cl.claims[i]; k.host == host && k.epoch == c.Epoch {
+			k.firstActed = min(k.firstActed, time.Since(cl.startedAt))
 			return
 		}
 	}
-	w.claims = append(w.claims, claim{host, c.Epoch, time.Since(w.begin), time.Since(w.begin)})
+	cl.claims = append(cl.claims, recordedClaim{host, c.Epoch, time.Since(cl.startedAt), time.Since(cl.startedAt)})
 }
 
-// fakeStore is the store as one host sees it.
+// fakeStore is one entry host's client of the simulated store.
 type fakeStore struct {
-	w *world
-	h *fakeHost
+	cl   *cluster
+	host *fakeHost
 }
 
 var _ storer.Store = (*fakeStore)(nil)
 
-// call counts a call, waits for the configured delay, and reports whether the request
-// arrives and whether its answer does.
+// call counts a call, waits for the configured delay, and reports whether the request reaches
+// the store and whether its answer reaches the host.
 func (s *fakeStore) call(ctx context.Context, kind string) (arrives, answered bool) {
-	s.w.mutex.Lock()
-	d := s.w.delay["store"]
-	s.w.calls[kind]++
-	s.w.mutex.Unlock()
+	s.cl.mutex.Lock()
+	d := s.cl.delays["store"]
+	s.cl.storeCalls[kind]++
+	s.cl.mutex.Unlock()
 	time.Sleep(d)
-	s.w.resumed(s.h)
-	s.w.mutex.Lock()
-	defer s.w.mutex.Unlock()
-	arrives = !s.w.cut[s.h.name+">store"]
-	return arrives, arrives && !s.w.cut["store>"+s.h.name] && ctx.Err() == nil
+	s.cl.waitWhilePaused(s.host)
+	s.cl.mutex.Lock()
+	defer s.cl.mutex.Unlock()
+	arrives = !s.cl.cutLinks[s.host.name+">store"]
+	return arrives, arrives && !s.cl.cutLinks["store>"+s.host.name] && ctx.Err() == nil
 }
 
-var errDown = &storer.UnavailableError{Reason: "refused"}
+var errUnavailable = &storer.UnavailableError{Reason: "refused"}
 
 func (s *fakeStore) Get(ctx context.Context, key string) (storer.Entry, error) {
 	if _, ok := s.call(ctx, "get"); !ok {
-		return storer.Entry{}, errDown
+		return storer.Entry{}, errUnavailable
 	}
-	s.w.mutex.Lock()
-	defer s.w.mutex.Unlock()
-	e := s.w.entries[key]
+	s.cl.mutex.Lock()
+	defer s.cl.mutex.Unlock()
+	e := s.cl.storeEntries[key]
 	e.Key = key
 	return e, nil
 }
 
 func (s *fakeStore) List(ctx context.Context, prefix string) ([]storer.Entry, uint64, error) {
 	if _, ok := s.call(ctx, "list"); !ok {
-		return nil, 0, errDown
+		return nil, 0, errUnavailable
 	}
-	s.w.mutex.Lock()
-	defer s.w.mutex.Unlock()
-	return s.w.since(prefix, 0), s.w.revision, nil
+	s.cl.mutex.Lock()
+	defer s.cl.mutex.Unlock()
+	return s.cl.entriesSince(prefix, 0), s.cl.revision, nil
 }
 
-func (w *world) since(prefix string, after uint64) []storer.Entry {
+func (cl *cluster) entriesSince(prefix string, after uint64) []storer.Entry {
 	var es []storer.Entry
-	for k, e := range w.entries {
+	for k, e := range cl.storeEntries {
 		if strings.HasPrefix(k, prefix) && e.Revision > after {
 			es = append(es, e)
 		}
@@ -288,72 +293,74 @@
 }
 
 func (s *fakeStore) CompareAndSwap(ctx context.Context, key string, expect uint64, value []byte) (bool, uint64, error) {
-	sent := time.Since(s.w.begin)
+	sent := time.Since(s.cl.startedAt)
 	arrives, answered := s.call(ctx, "cas")
 	if !arrives {
-		return false, 0, errDown
+		return false, 0, errUnavailable
 	}
-	s.w.mutex.Lock()
-	defer s.w.mutex.Unlock()
-	second := int(time.Since(s.w.begin) / time.Second)
-	counts := s.w.writes[key]
+	s.cl.mutex.Lock()
+	defer s.cl.mutex.Unlock()
+	second := int(time.Since(s.cl.startedAt) / time.Second)
+	counts := s.cl.writesPerSecond[key]
 	for len(counts) <= second {
 		counts = append(counts, 0)
 	}
 	counts[second]++
-	s.w.writes[key] = counts
-	s.w.total[second]++
-	s.w.tenths[int(time.Since(s.w.begin)/(100*time.Millisecond))]++
-	if counts[second] > 11 { // ten per second, and one on either border of the second
-		s.w.violate("%d writes to %s within a second", counts[second], key)
+	s.cl.writesPerSecond[key] = counts
+	s.cl.totalWritesPerSecond[second]++
+	s.cl.totalWritesPer100ms[int(time.Since(s.cl.startedAt)/(100*time.Millisecond))]++
+	if counts[second] > 11 { // limit of ten per second, and one more because the seconds are not aligned
+		s.cl.addViolation("%d writes to %s within a second", counts[second], key)
 	}
-	lose := s.w.loseAnswer > 0
+	lose := s.cl.answersToLose > 0
 	if lose {
-		s.w.loseAnswer--
+		s.cl.answersToLose--
 	}
-	swapped := s.w.entries[key].Revision == expect
+	swapped := s.cl.storeEntries[key].Revision == expect
 	if swapped {
-		s.w.revision++
-		s.w.entries[key] = storer.Entry{Key: key, Value: slices.Clone(value), Revision: s.w.revision}
-		s.w.note(key, value, sent)
+		s.cl.revision++
+		s.cl.storeEntries[key] = storer.Entry{Key: key, Value: slices.Clone(value), Revision: s.cl.revision}
+		s.cl.checkJournal(key, value, sent)
 	}
 	if lose || !answered {
 		return false, 0, &storer.UnknownOutcomeError{Key: key, Reason: "no answer"}
 	}
-	return swapped, s.w.entries[key].Revision, nil
+	return swapped, s.cl.storeEntries[key].Revision, nil
 }
 
-// note remembers the jobs whose end a journal shows: none of them may start again. A job
-// that finished out of sight of its owner may, because it counts as lost.
-func (w *world) note(key string, value []byte, sent time.Duration) {
+// checkJournal records the claim and the ended jobs in a written journal. These jobs must not
+// start again. A job that finished unnoticed by its owner may, because it counts as lost.
+func (cl *cluster) checkJournal(key string, value []byte, sent time.Duration) {
 	shard, ok := strings.CutPrefix(key, "shards/")
 	if !ok {
 		return
 	}
 	j, err := scheduler.DecodeJournal(shard, value)
 	if err != nil {
-		w.violate("journal written that cannot be read: %v", err)
+		cl.addViolation("written journal cannot be decoded: %v", err)
 	}
-	if last := len(w.claims) - 1; shard == "a/0" && (last < 0 || w.claims[last].epoch != j.Epoch) {
-		w.claims = append(w.claims, claim{j.Owner, j.Epoch, sent, math.MaxInt64})
+	if last := len(cl.claims) - 1; shard == "a/0" && (last < 0 || cl.claims[last].epoch != j.Epoch) {
+		cl.claims = append(cl.claims, recordedClaim{j.Owner, j.Epoch, sent, math.MaxInt64})
 	}
 	for _, b := range j.Jobs {
 		if b.State.Ended() {
-			w.ended[b.Spec.Name] = true
+			cl.endedJobs[b.Spec.Name] = true
 		}
 	}
 }
 
-func (s *fakeStore) Delete(context.Context, string, uint64) (bool, error) { return false, errDown }
+func (s *fakeStore) Delete(context.Context, string, uint64) (bool, error) {
+	return false, errUnavailable
+}
 
 func (s *fakeStore) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (storer.Events, error) {
 	if _, ok := s.call(ctx, "watch"); !ok {
-		return storer.Events{}, errDown
+		return storer.Events{}, errUnavailable
 	}
 	for end := time.Now().Add(wait); ; {
-		s.w.mutex.Lock()
-		es, revision := s.w.since(prefix, after), s.w.revision
-		s.w.mutex.Unlock()
+		s.cl.mutex.Lock()
+		es, revision := s.cl.entriesSince(prefix, after), s.cl.revision
+		s.cl.mutex.Unlock()
 		if len(es) > 0 || !time.Now().Before(end) || ctx.Err() != nil {
 			return storer.Events{Events: es, StoreRevision: revision}, ctx.Err()
 		}
@@ -368,49 +375,49 @@
 
 // fakeWorker is a worker with its own clock, epoch and leases.
 type fakeWorker struct {
-	world       *world
+	cl          *cluster
 	name        string
 	capacity    configurator.Resources
 	incarnation string
-	born        time.Time
-	drift       float64 // of its clock
+	startedAt   time.Time
+	clockDrift  float64 // relative error of its clock
 	epoch       uint64
 	tasks       map[string]*fakeTask
 }
 
 type fakeTask struct {
 	commander.TaskReport
-	duration time.Duration
-	began    time.Time
-	stopAt   time.Time
+	duration  time.Duration
+	startedAt time.Time
+	stopAt    time.Time
 }
 
 func (f *fakeWorker) clock() commander.WorkerTime {
-	return time.Duration(float64(time.Since(f.born)) * (1 + f.drift))
+	return time.Duration(float64(time.Since(f.startedAt)) * (1 + f.clockDrift))
 }
 
-// advance ends tasks whose lease, work or grace has ended.
-func (f *fakeWorker) advance() {
+// endTasks ends the tasks whose lease, run time or grace period has ended.
+func (f *fakeWorker) endTasks() {
 	now := time.Now()
 	for _, t := range f.tasks {
 		if !t.State.Active() {
 			continue
 		}
-		finish := t.began.Add(t.duration)
+		finish := t.startedAt.Add(t.duration)
 		switch {
 		case f.clock() > t.LeaseEnd:
 			t.State, t.Checkpoint, t.Reason = commander.TaskStopped, fmt.Sprint(t.Attempt), "lease ended"
 		case !t.stopAt.IsZero() && now.After(t.stopAt):
-			t.State, t.Checkpoint, t.Reason = commander.TaskStopped, fmt.Sprint(t.Attempt), "told to stop"
+			t.State, t.Checkpoint, t.Reason = commander.TaskStopped, fmt.Sprint(t.Attempt), "stopped by command"
 		case t.Kind == commander.KindBatch && now.After(finish):
 			t.State = commander.TaskFinished
-			f.world.finished[t.Task]++
+			f.cl.finishesByTask[t.Task]++
 		}
 	}
 }
 
 func (f *fakeWorker) report() commander.Report {
-	f.advance()
+	f.endTasks()
 	r := commander.Report{Worker: f.name, Incarnation: f.incarnation, Clock: f.clock(), MeasuredAt: max(0, f.clock()-time.Second), Epoch: f.epoch, Capacity: f.capacity}
 	for _, t := range f.tasks {
 		r.Tasks = append(r.Tasks, t.TaskReport)
@@ -418,7 +425,7 @@
 	return r
 }
 
-// apply carries out one command.
+// apply executes one command.
 func (f *fakeWorker) apply(c commander.Command) commander.Result {
 	key := fmt.Sprint(c.Task, "/", c.Attempt)
 	t := f.tasks[key]
@@ -427,7 +434,7 @@
 	}
 	if c.Verb == commander.VerbStart {
 		if t == nil {
-			f.begin(key, c)
+			f.startTask(key, c)
 		}
 		return commander.Result{Task: c.Task, Done: true}
 	}
@@ -445,49 +452,49 @@
 	return commander.Result{Task: c.Task, Done: true}
 }
 
-// begin starts a task and checks the invariants that a start can violate.
-func (f *fakeWorker) begin(key string, c commander.Command) {
-	w := f.world
-	if w.cancelled[c.Task] {
-		w.violate("%s: cancelled job %s starts", f.name, c.Task)
+// startTask starts a task and checks the invariants of starts.
+func (f *fakeWorker) startTask(key string, c commander.Command) {
+	cl := f.cl
+	if cl.cancelledJobs[c.Task] {
+		cl.addViolation("%s: cancelled job %s starts", f.name, c.Task)
 	}
-	if w.ended[c.Task] {
-		w.violate("%s: ended job %s starts", f.name, c.Task)
+	if cl.endedJobs[c.Task] {
+		cl.addViolation("%s: ended job %s starts", f.name, c.Task)
 	}
-	w.starts[c.Task]++
-	if c.Kind == commander.KindBatch && !w.listed(f.name, c) {
-		w.unlisted++
+	cl.startsByTask[c.Task]++
+	if c.Kind == commander.KindBatch && !cl.journalLists(f.name, c) {
+		cl.unlistedStarts++
 	}
 	used := c.Declared
-	for _, o := range w.workers {
-		o.advance()
+	for _, o := range cl.workers {
+		o.endTasks()
 		for _, t := range o.tasks {
 			if t.State.Active() && t.Task == c.Task && c.Kind == commander.KindBatch {
-				w.violate("job %s attempt %d starts on %s and runs on %s as attempt %d", c.Task, c.Attempt, f.name, o.name, t.Attempt)
+				cl.addViolation("job %s attempt %d starts on %s and runs on %s as attempt %d", c.Task, c.Attempt, f.name, o.name, t.Attempt)
 			}
 			if t.State.Active() && o == f {
 				used = used.Add(t.Declared)
 			}
-			if !w.unseen && t.Task == c.Task && t.Attempt >= c.Attempt && c.Kind == commander.KindBatch {
-				w.violate("job %s starts again with attempt %d after attempt %d", c.Task, c.Attempt, t.Attempt)
+			if !cl.allowLostAttempts && t.Task == c.Task && t.Attempt >= c.Attempt && c.Kind == commander.KindBatch {
+				cl.addViolation("job %s starts again with attempt %d after attempt %d", c.Task, c.Attempt, t.Attempt)
 			}
 		}
 	}
 	if !used.Fits(f.capacity) {
-		w.violate("%s is over capacity: %+v", f.name, used)
+		cl.addViolation("%s is over capacity: %+v", f.name, used)
 	}
 	f.tasks[key] = &fakeTask{
 		TaskReport: commander.TaskReport{
 			Task: c.Task, Attempt: c.Attempt, Kind: c.Kind, Class: c.Class, Service: c.Service, State: commander.TaskRunning,
 			Declared: c.Declared, LeaseEnd: c.LeaseEnd, Checkpoint: c.Checkpoint, Address: "127.0.0.1:80",
 		},
-		duration: c.Duration, began: time.Now(),
+		duration: c.Duration, startedAt: time.Now(),
 	}
 }
 
-// listed reports whether a journal shows the assignment.
-func (w *world) listed(worker string, c commander.Command) bool {
-	for key, e := range w.entries {
+// journalLists reports whether a stored journal assigns the attempt to the worker.
+func (cl *cluster) journalLists(worker string, c commander.Command) bool {
+	for key, e := range cl.storeEntries {
 		j, err := scheduler.DecodeJournal(strings.TrimPrefix(key, "shards/"), e.Value)
 		if err != nil {
 			continue
@@ -501,34 +508,35 @@
 	return false
 }
 
-// fakeTransport is the workers as one host sees them.
-type fakeTransport struct {
-	w *world
-	h *fakeHost
+// fakeWorkerClient is one entry host's client of the simulated workers.
+type fakeWorkerClient struct {
+	cl   *cluster
+	host *fakeHost
 }
 
-// call runs f at the worker. The answer may be lost.
-func (t *fakeTransport) call(address netip.AddrPort, f func(*fakeWorker)) error {
-	t.w.mutex.Lock()
-	d := t.w.delay["workers"]
-	t.w.mutex.Unlock()
+// call runs f at the worker. If only the answer is lost, f takes effect and call returns an
+// error.
+func (t *fakeWorkerClient) call(address netip.AddrPort, f func(*fakeWorker)) error {
+	t.cl.mutex.Lock()
+	d := t.cl.delays["workers"]
+	t.cl.mutex.Unlock()
 	time.Sleep(d)
-	t.w.resumed(t.h)
-	t.w.mutex.Lock()
-	defer t.w.mutex.Unlock()
-	o := t.w.workers[address]
-	if o == nil || t.w.cut[t.h.name+">"+o.name] {
+	t.cl.waitWhilePaused(t.host)
+	t.cl.mutex.Lock()
+	defer t.cl.mutex.Unlock()
+	o := t.cl.workers[address]
+	if o == nil || t.cl.cutLinks[t.host.name+">"+o.name] {
 		return fmt.Errorf("worker %s does not answer", address)
 	}
-	o.advance()
+	o.endTasks()
 	f(o)
-	if t.w.cut[o.name+">"+t.h.name] {
+	if t.cl.cutLinks[o.name+">"+t.host.name] {
 		return fmt.Errorf("worker %s does not answer", address)
 	}
 	return nil
 }
 
-func (t *fakeTransport) Fence(_ context.Context, a netip.AddrPort, epoch uint64, _ string) (m commander.FenceAnswer, err error) {
+func (t *fakeWorkerClient) Fence(_ context.Context, a netip.AddrPort, epoch uint64, _ string) (m commander.FenceAnswer, err error) {
 	err = t.call(a, func(o *fakeWorker) {
 		m.Accepted = epoch >= o.epoch
 		o.epoch = max(o.epoch, epoch)
@@ -537,12 +545,12 @@
 	return m, err
 }
 
-func (t *fakeTransport) Report(_ context.Context, a netip.AddrPort) (r commander.Report, err error) {
+func (t *fakeWorkerClient) Report(_ context.Context, a netip.AddrPort) (r commander.Report, err error) {
 	err = t.call(a, func(o *fakeWorker) { r = o.report() })
 	return r, err
 }
 
-func (t *fakeTransport) Apply(_ context.Context, a netip.AddrPort, epoch uint64, _ string, cs []commander.Command) (m commander.ApplyAnswer, err error) {
+func (t *fakeWorkerClient) Apply(_ context.Context, a netip.AddrPort, epoch uint64, _ string, cs []commander.Command) (m commander.ApplyAnswer, err error) {
 	err = t.call(a, func(o *fakeWorker) {
 		m.Accepted = epoch >= o.epoch
 		o.epoch = max(o.epoch, epoch)
@@ -556,8 +564,8 @@
 	return m, err
 }
 
-// configuration returns domains "a" and "b" with the given number of entry hosts and
-// workers each; b resumes the jobs of a.
+// configuration returns the failure domains a and b, each the other's successor, with the
+// given numbers of entry hosts, workers and shards each.
 func configuration(hosts, workers, shards int) *configurator.Configuration {
 	c := &configurator.Configuration{
 		Generation:     1,
@@ -579,53 +587,54 @@
 	return c
 }
 
-// submit asks the owner of the job's home shard.
-func (w *world) submit(name string, duration time.Duration) (messenger.JobAnswer, bool) {
-	w.mutex.Lock()
-	hs := make([]*fakeHost, 0, len(w.hosts))
-	for _, h := range w.hosts {
+// submit submits a job to the running entry hosts until one of them, the owner of the home
+// shard, answers.
+func (cl *cluster) submit(name string, duration time.Duration) (messenger.JobAnswer, bool) {
+	cl.mutex.Lock()
+	hs := make([]*fakeHost, 0, len(cl.hosts))
+	for _, h := range cl.hosts {
 		if !h.paused {
 			hs = append(hs, h)
 		}
 	}
-	w.mutex.Unlock()
+	cl.mutex.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	for _, h := range hs {
-		if a, err := h.p.Submit(ctx, scheduler.JobSpec{Name: name, Class: "repair", Duration: duration}); err == nil {
+		if a, err := h.proprietor.Submit(ctx, scheduler.JobSpec{Name: name, Class: "repair", Duration: duration}); err == nil {
 			return a, true
 		}
 	}
 	return messenger.JobAnswer{}, false
 }
 
-// count returns the number of finished jobs.
-func (w *world) count() int {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	for _, o := range w.workers {
-		o.advance()
+// finishedJobs returns the number of finished jobs.
+func (cl *cluster) finishedJobs() int {
+	cl.mutex.Lock()
+	defer cl.mutex.Unlock()
+	for _, o := range cl.workers {
+		o.endTasks()
 	}
-	return len(w.finished)
+	return len(cl.finishesByTask)
 }
 
-// cancel asks every host until one answers. The job is marked as cancelled only if the
-// cancellation was acknowledged before the job finished.
-func (w *world) cancel(name string) {
-	w.mutex.Lock()
-	hs := make([]*fakeHost, 0, len(w.hosts))
-	for _, h := range w.hosts {
+// cancel sends a cancellation to all running entry hosts. The job counts as cancelled only if
+// one of them acknowledges the cancellation before the job has finished.
+func (cl *cluster) cancel(name string) {
+	cl.mutex.Lock()
+	hs := make([]*fakeHost, 0, len(cl.hosts))
+	for _, h := range cl.hosts {
 		if !h.paused {
 			hs = append(hs, h)
 		}
 	}
-	w.mutex.Unlock()
+	cl.mutex.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	for _, h := range hs {
-		a, err := h.p.Cancel(ctx, name)
+		a, err := h.proprietor.Cancel(ctx, name)
 		if err == nil && a.Accepted && (a.Status.State == scheduler.JobCanceling || a.Status.State == scheduler.JobCancelled) {
-			w.set(func() { w.cancelled[name] = true })
+			cl.locked(func() { cl.cancelledJobs[name] = true })
 		}
 	}
 }
--- a/internal/proprietor/mechanism_test.go
+++ b/internal/proprietor/mechanism_test.go
@@ -13,42 +13,43 @@
 	"peridotpitch/internal/scheduler"
 )
 
-// scene is a world with one shard in each failure domain, "a/0" on workers wa0 and wa1.
-type scene struct {
-	*world
-	is           *is.I
-	owner, other string // entry hosts of a
-	names        []string
+// testCluster is a cluster with one shard in each failure domain, a/0 on workers wa0 and wa1.
+type testCluster struct {
+	*cluster
+	is             *is.I
+	owner, standby string // entry hosts of failure domain a
+	jobNames       []string
 }
 
-// stage starts a scene, submits jobs to a/0 and lets f disturb it.
-func stage(t *testing.T, jobs int, duration time.Duration, f func(s *scene)) {
+// runOnCluster starts a testCluster, submits jobs to a/0, runs f, which causes faults, and
+// checks the invariants.
+func runOnCluster(t *testing.T, jobs int, duration time.Duration, f func(s *testCluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &scene{world: newWorld(configuration(2, 2, 1)), is: is.New(t)}
-		defer s.stopAll()
+		s := &testCluster{cluster: newCluster(configuration(2, 2, 1)), is: is.New(t)}
+		defer s.stopAllHosts()
 		for _, h := range s.config.EntryHosts {
-			s.start(h.Name)
+			s.startHost(h.Name)
 		}
 		time.Sleep(6 * time.Second)
-		s.owner = s.hosts["a0"].p.Owner("a/0")
-		s.other = map[string]string{"a0": "a1", "a1": "a0"}[s.owner]
+		s.owner = s.hosts["a0"].proprietor.Owner("a/0")
+		s.standby = map[string]string{"a0": "a1", "a1": "a0"}[s.owner]
 		s.submitHome(jobs, duration)
 		time.Sleep(14 * time.Second)
 		f(s)
-		check(t, s.world)
+		checkViolations(t, s.cluster)
 	})
 }
 
-// submitHome submits jobs whose home is a/0, all at once.
-func (s *scene) submitHome(jobs int, duration time.Duration) {
-	p := s.hosts[s.owner].p
+// submitHome concurrently submits jobs whose home shard is a/0.
+func (s *testCluster) submitHome(jobs int, duration time.Duration) {
+	p := s.hosts[s.owner].proprietor
 	var all sync.WaitGroup
 	for i := 0; jobs > 0; i++ {
-		name := fmt.Sprint("job", len(s.names), "-", i)
+		name := fmt.Sprint("job", len(s.jobNames), "-", i)
 		if p.HomeShard(name) != "a/0" {
 			continue
 		}
-		s.names = append(s.names, name)
+		s.jobNames = append(s.jobNames, name)
 		jobs--
 		all.Go(func() {
 			a, err := p.Submit(context.Background(), scheduler.JobSpec{Name: name, Class: "repair", Duration: duration})
@@ -59,128 +60,129 @@
 	all.Wait()
 }
 
-// cutOff cuts a host from the named ones in both directions, or restores it.
-func (s *scene) cutOff(host string, cut bool, from ...string) {
+// setHostPartitioned cuts or restores the messages between a host and others in both
+// directions.
+func (s *testCluster) setHostPartitioned(host string, cut bool, from ...string) {
 	for _, o := range from {
-		s.partition(host, o, cut)
+		s.setPartitioned(host, o, cut)
 	}
 }
 
-// Guards against a replaced owner that keeps leases alive on a worker which its
-// successor fenced and then cannot reach: the job would run there and elsewhere. The
-// mechanism is the epoch.
+// Guards against a replaced owner that goes on renewing leases on a worker that its successor
+// has fenced and can no longer reach: the job would run there and on another worker. The
+// worker must refuse commands of an earlier epoch.
 func TestReplacedOwnerCannotRenew(t *testing.T) {
-	stage(t, 5, 300*time.Second, func(s *scene) {
-		s.cutOff(s.owner, true, s.other, "store", "wa1")
+	runOnCluster(t, 5, 300*time.Second, func(s *testCluster) {
+		s.setHostPartitioned(s.owner, true, s.standby, "store", "wa1")
 		time.Sleep(8 * time.Second)
-		s.is.Equal(s.hosts[s.other].p.Owner("a/0"), s.other)
-		s.cutOff(s.other, true, "wa0")
+		s.is.Equal(s.hosts[s.standby].proprietor.Owner("a/0"), s.standby)
+		s.setHostPartitioned(s.standby, true, "wa0")
 		time.Sleep(70 * time.Second)
 	})
 }
 
-// Guards against a partitioned owner that goes on starting jobs of its journal on a
-// worker that only it can reach. The mechanism is the tenure, checked before each effect
-// and carried by each command.
+// Guards against a partitioned owner that goes on starting jobs on a worker that only it can
+// reach. It must check its lease before each command, and commands must carry the lease's end.
 func TestPartitionedOwnerStopsStarting(t *testing.T) {
-	stage(t, 40, 40*time.Second, func(s *scene) {
-		s.cutOff(s.owner, true, s.other, "store", "wa1", "b0", "b1")
-		s.cutOff(s.other, true, "wa0")
+	runOnCluster(t, 40, 40*time.Second, func(s *testCluster) {
+		s.setHostPartitioned(s.owner, true, s.standby, "store", "wa1", "b0", "b1")
+		s.setHostPartitioned(s.standby, true, "wa0")
 		time.Sleep(300 * time.Second)
 	})
 }
 
-// Guards against a new owner that starts a pending job which the dead owner had started
-// during a store outage, on a worker that does not answer. The mechanism is the wait for
-// fencing.
+// Guards against a new owner that starts a job listed as pending although the crashed owner
+// started it during a store outage, on a worker that is now unreachable. The new owner must
+// wait until the worker has accepted its epoch or the earlier leases have ended.
 func TestPendingJobsWaitForFencing(t *testing.T) {
-	stage(t, 24, 25*time.Second, func(s *scene) {
+	runOnCluster(t, 24, 25*time.Second, func(s *testCluster) {
 		for _, h := range s.config.EntryHosts {
-			s.partition(h.Name, "store", true)
+			s.setPartitioned(h.Name, "store", true)
 		}
 		time.Sleep(20 * time.Second)
-		s.kill(s.owner)
-		s.cutOff(s.other, true, "wa0")
+		s.killHost(s.owner)
+		s.setHostPartitioned(s.standby, true, "wa0")
 		for _, h := range s.config.EntryHosts {
-			s.partition(h.Name, "store", false)
+			s.setPartitioned(h.Name, "store", false)
 		}
 		time.Sleep(60 * time.Second)
 	})
 }
 
-// Guards against leases in a partitioned failure domain that outlast the running tenure,
-// after which the successor failure domain runs the jobs. The mechanism is the lease end
-// in the worker's clock, bounded by the tenure.
-func TestLeasesEndBeforeTheJobsMove(t *testing.T) {
-	stage(t, 4, 300*time.Second, func(s *scene) {
-		s.isolate([]string{"a0", "a1", "wa0", "wa1"}, "a", true)
+// Guards against tasks in a partitioned failure domain that still run when the successor
+// failure domain has imported their jobs. Their leases, in the workers' clocks, must not
+// outlast the owner's lease for running tasks.
+func TestLeasesEndBeforeJobsAreImported(t *testing.T) {
+	runOnCluster(t, 4, 300*time.Second, func(s *testCluster) {
+		s.setIsolated([]string{"a0", "a1", "wa0", "wa1"}, "a", true)
 		time.Sleep(120 * time.Second)
 		running := 0
-		for _, j := range s.hosts["b0"].p.List(all) {
+		for _, j := range s.hosts["b0"].proprietor.List(allJobs) {
 			s.is.Equal(j.Shard, "b/0")
 			running++
 		}
-		for _, j := range s.hosts["b1"].p.List(all) {
+		for _, j := range s.hosts["b1"].proprietor.List(allJobs) {
 			s.is.Equal(j.Shard, "b/0")
 			running++
 		}
-		s.is.Equal(running, 4) // b has taken the jobs over
-		s.isolate([]string{"a0", "a1", "wa0", "wa1"}, "a", false)
+		s.is.Equal(running, 4) // b has imported the jobs
+		s.setIsolated([]string{"a0", "a1", "wa0", "wa1"}, "a", false)
 		time.Sleep(20 * time.Second)
-		s.is.True(s.hosts["b0"].p.Owner("a/0") != "") // the emptied journal is claimed again
-		a, err := s.hosts[s.hosts["a0"].p.Owner("a/0")].p.Submit(context.Background(), scheduler.JobSpec{Name: s.names[0], Class: "repair"})
+		s.is.True(s.hosts["b0"].proprietor.Owner("a/0") != "") // the shard is claimed again after its jobs were imported
+		a, err := s.hosts[s.hosts["a0"].proprietor.Owner("a/0")].proprietor.Submit(context.Background(), scheduler.JobSpec{Name: s.jobNames[0], Class: "repair"})
 		s.is.NoErr(err)
-		s.is.True(!a.Accepted) // the job lives in b now
+		s.is.True(!a.Accepted) // b owns the job now
 		time.Sleep(300 * time.Second)
-		s.is.Equal(s.count(), 4)
+		s.is.Equal(s.finishedJobs(), 4)
 	})
 }
 
-// Guards against an owner that takes a lost answer for a failure, and so never matches
-// the journal's revision again. The mechanism is the read-back of writer and sequence.
+// Guards against an owner that treats a write with a lost answer as failed and then never has
+// the journal's current revision again. It must read the journal back and compare writer and
+// sequence number.
 func TestLostAnswersAreReadBack(t *testing.T) {
-	stage(t, 2, 5*time.Second, func(s *scene) {
+	runOnCluster(t, 2, 5*time.Second, func(s *testCluster) {
 		for range 10 {
-			s.set(func() { s.loseAnswer = 2 })
+			s.locked(func() { s.answersToLose = 2 })
 			time.Sleep(3 * time.Second)
 		}
 		s.submitHome(4, 5*time.Second)
 		time.Sleep(30 * time.Second)
-		s.is.Equal(s.count(), 6)
-		s.is.Equal(s.hosts["b0"].p.Owner("a/0"), s.owner) // no change of owner was needed
+		s.is.Equal(s.finishedJobs(), 6)
+		s.is.Equal(s.hosts["b0"].proprietor.Owner("a/0"), s.owner) // the owner has not changed
 	})
 }
 
-// Guards against a move of jobs whose owner is alive and writes to the store, by a host
-// that has not seen the writes. The mechanism is the compare-and-swap to MovedTo.
-func TestLiveShardIsNotMoved(t *testing.T) {
-	stage(t, 4, 300*time.Second, func(s *scene) {
+// Guards against an import of jobs whose owner is alive and writes to the store, by a host that
+// has not read the writes. Its compare-and-swap that sets MovedTo must fail.
+func TestJobsOfLiveShardAreNotImported(t *testing.T) {
+	runOnCluster(t, 4, 300*time.Second, func(s *testCluster) {
 		for _, b := range []string{"b0", "b1"} {
-			s.cutOff(b, true, "a0", "a1")
-			s.set(func() { s.cut["store>"+b] = true })
+			s.setHostPartitioned(b, true, "a0", "a1")
+			s.locked(func() { s.cutLinks["store>"+b] = true })
 		}
 		time.Sleep(150 * time.Second)
-		s.is.Equal(s.hosts[s.other].p.Owner("a/0"), s.owner)
+		s.is.Equal(s.hosts[s.standby].proprietor.Owner("a/0"), s.owner)
 	})
 }
 
-// Guards against a promise that a host gives to the owner of a shard whose jobs it has
-// just moved: with the promises of its peers, the old owner would start them again.
-func TestMovedShardGetsNoPromise(t *testing.T) {
-	stage(t, 40, 40*time.Second, func(s *scene) {
-		s.set(func() { s.unseen = true })
-		s.isolate([]string{"a0", "a1", "wa0", "wa1"}, "a", true)
-		for _, a := range []string{"a0", "a1"} { // both queues begin with the same jobs
-			s.cutOff(a, true, "wa0", "wa1")
+// Guards against a host that gives a promise to the owner of a shard whose jobs it has just
+// imported: with the promises of the other hosts, that owner would start the jobs again.
+func TestImportedShardGetsNoPromise(t *testing.T) {
+	runOnCluster(t, 40, 40*time.Second, func(s *testCluster) {
+		s.locked(func() { s.allowLostAttempts = true })
+		s.setIsolated([]string{"a0", "a1", "wa0", "wa1"}, "a", true)
+		for _, a := range []string{"a0", "a1"} { // so that both owners have the same jobs to start
+			s.setHostPartitioned(a, true, "wa0", "wa1")
 		}
-		for len(s.hosts["b0"].p.List(all))+len(s.hosts["b1"].p.List(all)) == 0 {
+		for len(s.hosts["b0"].proprietor.List(allJobs))+len(s.hosts["b1"].proprietor.List(allJobs)) == 0 {
 			time.Sleep(20 * time.Millisecond)
 		}
 		for _, b := range []string{"b0", "b1"} {
-			s.cutOff(b, false, "a0", "a1")
+			s.setHostPartitioned(b, false, "a0", "a1")
 		}
 		for _, a := range []string{"a0", "a1"} {
-			s.cutOff(a, false, "wa0", "wa1")
+			s.setHostPartitioned(a, false, "wa0", "wa1")
 		}
 		time.Sleep(60 * time.Second)
 	})
--- a/internal/proprietor/proprietor_test.go
+++ b/internal/proprietor/proprietor_test.go
@@ -13,48 +13,49 @@
 	"github.com/matryer/is"
 )
 
-var all = messenger.ListRequest{}
+var allJobs = messenger.ListRequest{}
 
-// check fails the test for each violated invariant.
-func check(t *testing.T, w *world) {
+// checkViolations fails the test with the first five violations of invariants.
+func checkViolations(t *testing.T, cl *cluster) {
 	t.Helper()
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	for i, v := range w.violations {
+	cl.mutex.Lock()
+	defer cl.mutex.Unlock()
+	for i, v := range cl.violations {
 		if i < 5 {
 			t.Error(v)
 		}
 	}
 }
 
-// Guards against a runtime that loses a job between submission and its end.
-func TestJobsRunToTheirEnd(t *testing.T) {
+// Guards against an accepted job that does not finish, and against a start before the journal
+// with the assignment is stored.
+func TestJobsFinish(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(configuration(2, 4, 2))
-		defer w.stopAll()
-		for _, h := range w.config.EntryHosts {
-			w.start(h.Name)
+		cl := newCluster(configuration(2, 4, 2))
+		defer cl.stopAllHosts()
+		for _, h := range cl.config.EntryHosts {
+			cl.startHost(h.Name)
 		}
 		time.Sleep(6 * time.Second)
 		for i := range 40 {
-			a, ok := w.submit(fmt.Sprint("job", i), 10*time.Second)
+			a, ok := cl.submit(fmt.Sprint("job", i), 10*time.Second)
 			is.True(ok)
 			is.True(a.Accepted)
 		}
 		time.Sleep(60 * time.Second)
-		is.Equal(w.count(), 40)
-		w.set(func() { is.Equal(w.unlisted, 0) }) // each assignment was in the journal before its start
-		check(t, w)
+		is.Equal(cl.finishedJobs(), 40)
+		cl.locked(func() { is.Equal(cl.unlistedStarts, 0) }) // each attempt was in the stored journal before its start
+		checkViolations(t, cl)
 	})
 }
 
 func ExampleNew() {
-	w := newWorld(configuration(2, 2, 1))
-	h := w.start("a0")
+	cl := newCluster(configuration(2, 2, 1))
+	h := cl.startHost("a0")
 	defer h.stop()
-	_, err := h.p.Submit(context.Background(), scheduler.JobSpec{Name: "dent-repair-12", Class: "repair"})
-	fmt.Println(err) // nothing is claimed within the first TTL
+	_, err := h.proprietor.Submit(context.Background(), scheduler.JobSpec{Name: "dent-repair-12", Class: "repair"})
+	fmt.Println(err) // no shard is claimed within the first TTL
 	_, _, err = proprietor.New(proprietor.Settings{Host: "a0"})
 	fmt.Println(err)
 	// Output:
