--- a/cmd/peridotpitch/entry.go
+++ b/cmd/peridotpitch/entry.go
@@ -15,40 +15,40 @@
 )
 
 const (
-	// storeTimeout bounds a call to the store, which answers in 4 ms and, when it is
-	// slow, within half a second.
+	// storeTimeout limits a call to the store. The store answers in 4 ms, and within half
+	// a second when it is slow.
 	storeTimeout = 700 * time.Millisecond
-	// orderTimeout bounds an order to a worker. Workers answer in milliseconds; an order
-	// that got no answer is sent again.
-	orderTimeout = 400 * time.Millisecond
-	// adviceTimeout bounds a question to the policy service, which takes time for each
-	// worker named and handles one call of a host at a time.
+	// commandTimeout limits a command to a worker. Workers answer in milliseconds; a
+	// command without an answer is sent again.
+	commandTimeout = 400 * time.Millisecond
+	// adviceTimeout limits a query to the policy service, whose duration grows with the
+	// number of workers in the query, and which handles one call of a host at a time.
 	adviceTimeout = 2 * time.Second
-	// heapShare is the part of the process's memory that the heap may fill before the
-	// garbage collector works harder.
-	heapShare = 0.7
-	// heapGrowth lets the heap, which is small, triple between two collections: the
-	// collector is the largest consumer of processor time otherwise.
-	heapGrowth = 200 // percent
+	// memoryLimitShare is the Go runtime's memory limit (GOMEMLIMIT) as a share of the Memory
+	// setting. The garbage collector runs more often as the heap approaches it.
+	memoryLimitShare = 0.7
+	// gcPercent lets the heap triple between two collections (GOGC). The heap is small, and
+	// with more frequent collections the garbage collector would use the most processor time.
+	gcPercent = 200
 )
 
-// entry runs an entry host on the platform until ctx ends.
-func entry(ctx context.Context, path string) error {
+// runEntryHost runs an entry host on the platform until ctx ends.
+func runEntryHost(ctx context.Context, path string) error {
 	s, err := platform.LoadSettings(path)
 	if err != nil {
 		return err
 	}
-	debug.SetGCPercent(heapGrowth)
-	debug.SetMemoryLimit(int64(heapShare * float64(s.Memory)))
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(s.Memory)))
 	log, flush := logger.Stdout(slog.LevelInfo)
 	defer flush()
 	store, closeStore := platform.NewStore(s.StoreAddress, storeTimeout)
 	defer closeStore()
-	workers, closeWorkers := platform.NewWorkers(s.AdviceAddress, orderTimeout, adviceTimeout)
+	workers, closeWorkers := platform.NewWorkerClient(s.AdviceAddress, commandTimeout, adviceTimeout)
 	defer closeWorkers()
 	c := coordinator.New(s, coordinator.Peers{
 		Store: store, Workers: workers, Decoder: platform.Decoder{},
-		Keys: coordinator.Keys{Configuration: platform.KeyConfiguration, Workers: platform.PrefixWorkers},
+		Keys: coordinator.Keys{Configuration: platform.ConfigurationKey, Workers: platform.WorkerKeyPrefix},
 	}, log)
 	shutdown, err := platform.ServeCallers(s.CallerAddress, s.ReadyAddress, c, log)
 	if err != nil {
@@ -62,21 +62,21 @@
 		}
 	}()
 	err = c.Run(ctx)
-	end, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	if shutdownErr := shutdown(end); shutdownErr != nil {
+	if shutdownErr := shutdown(shutdownCtx); shutdownErr != nil {
 		log.Warn("RequestsCut", "Cause", shutdownErr.Error())
 	}
 	return err
 }
 
-func checkEntry(path string) error {
+func checkEntrySettings(path string) error {
 	_, err := platform.LoadSettings(path)
 	return err
 }
 
-// shutdownTimeout bounds the wait for requests that are being answered when the process
-// ends. Answers take milliseconds; the store's timeout is the longest part.
+// shutdownTimeout limits the wait for requests in flight when the process ends. Requests
+// take milliseconds, and up to storeTimeout when the store is slow.
 const shutdownTimeout = 2 * time.Second
 
 func reloadSignals() (<-chan os.Signal, func()) {
@@ -85,8 +85,9 @@
 	return ch, func() { signal.Stop(ch) }
 }
 
-// reload checks the changed settings. Addresses and names can not change while the
-// process runs; everything else that may change stands in the store.
+// reload validates the changed settings and logs the outcome; it applies none. Addresses
+// and names cannot change while the process runs, and everything else that operators may
+// change is in the store.
 func reload(path string, old coordinator.Settings, log *slog.Logger) {
 	s, err := platform.LoadSettings(path)
 	if err != nil {
--- a/cmd/peridotpitch/main.go
+++ b/cmd/peridotpitch/main.go
@@ -1,4 +1,4 @@
-// Command peridotpitch is the entry host and the operators' command line.
+// Command peridotpitch runs an entry host and provides the operators' command line.
 package main
 
 import (
@@ -27,14 +27,14 @@
 		Stdout: os.Stdout,
 		Stderr: os.Stderr,
 		Getenv: os.Getenv,
-		Serve:  serve,
-		Entry:  entry,
-		// The platform hands the path of the settings over in a variable.
+		Serve:  runServer,
+		Entry:  runEntryHost,
+		// The platform passes the path of the settings file in this environment variable.
 		SettingsVariable: platform.SettingsVariable,
 		Version:          version,
 	})
 }
 
-func serve(ctx context.Context, s loader.Settings) error {
+func runServer(ctx context.Context, s loader.Settings) error {
 	return server.Run(ctx, s, version)
 }
