--- a/internal/administrator/backend.go
+++ b/internal/administrator/backend.go
@@ -25,8 +25,8 @@
 	CodeInternal       Code = "internal"
 )
 
-// Error is an error as sent to operators. A Backend may return one; its other errors
-// are translated by type.
+// Error is an error as sent to operators. A Backend may return one; other errors that it
+// returns are converted by their type.
 type Error struct {
 	Code    Code
 	Message string
@@ -38,8 +38,8 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("%s: %s", e.Code, e.Message) }
 
-// ConfigurationView is the configuration in effect on the answering entry host, and
-// what it last heard of the generations on all entry hosts.
+// ConfigurationView is the configuration in effect on the answering entry host, and the
+// generations on all entry hosts as it last received them.
 type ConfigurationView struct {
 	Host        string
 	Record      configurator.Record
@@ -47,7 +47,7 @@
 	Hosts       []HostGeneration // sorted by name
 }
 
-// HostGeneration says which generation is in effect on an entry host.
+// HostGeneration is the configuration generation in effect on an entry host.
 type HostGeneration struct {
 	Host        string
 	Generation  uint64
@@ -55,14 +55,14 @@
 	HeardAgo    time.Duration // age of this information; 0 for the answering host
 }
 
-// JobFilter selects jobs. Empty fields select all.
+// JobFilter selects jobs. An empty Team or State matches all jobs.
 type JobFilter struct {
 	Team  string
 	State scheduler.JobState
 	Limit int // 0: DefaultJobLimit
 }
 
-// DefaultJobLimit bounds the number of jobs that a list holds unless it is set.
+// DefaultJobLimit is the maximum number of jobs in a list if the filter sets no Limit.
 const DefaultJobLimit = 1000
 
 // ServiceStatus is a service and its instances.
@@ -73,7 +73,8 @@
 	Instances []messenger.Endpoint
 }
 
-// HostStatus is a host as the answering entry host sees it.
+// HostStatus is the state of an entry host or worker, as recorded by the answering entry
+// host.
 type HostStatus struct {
 	Name          string
 	Role          string // entry or worker
@@ -86,7 +87,7 @@
 	Capacity      configurator.Resources
 }
 
-// ShardStatus is a shard as the answering entry host sees it.
+// ShardStatus is the state of a shard, as recorded by the answering entry host.
 type ShardStatus struct {
 	Name  string
 	Owner string
@@ -94,7 +95,7 @@
 	Jobs  map[scheduler.JobState]int
 }
 
-// Status summarizes the system as the answering entry host sees it.
+// Status summarizes the state of the system, as recorded by the answering entry host.
 type Status struct {
 	Host          string
 	FailureDomain string
@@ -110,7 +111,7 @@
 	Shards        []ShardStatus
 }
 
-// Backend does what operators ask for. The server implements it.
+// Backend executes the requests of operators. Package server implements it.
 type Backend interface {
 	ApplyConfiguration(ctx context.Context, s publisher.Submission) (publisher.Applied, error)
 	ShowConfiguration(ctx context.Context) (ConfigurationView, error)
--- a/internal/administrator/client.go
+++ b/internal/administrator/client.go
@@ -19,11 +19,11 @@
 	"peridotpitch/internal/scheduler"
 )
 
-// maxAnswerSize bounds an answer, in bytes. 16,000 jobs take about 8 MB.
-const maxAnswerSize = 64 << 20
+// maxAnswerBytes bounds the body of an answer. A list of 16,000 jobs takes about 8 MB.
+const maxAnswerBytes = 64 << 20
 
-// UnreachableError says that no usable answer arrived. If Sent is set, a request that
-// changes something may have taken effect.
+// UnreachableError reports that no usable answer arrived. If Sent is set, a request that
+// changes state may have taken effect.
 type UnreachableError struct {
 	Address netip.AddrPort
 	Sent    bool
@@ -40,9 +40,9 @@
 // Unwrap returns the cause.
 func (e *UnreachableError) Unwrap() error { return e.Cause }
 
-// Client asks one entry host. Its methods mirror Backend; their errors are of type
-// *Error or *UnreachableError. It never repeats a request. It is safe for concurrent
-// use.
+// Client sends operators' requests to one entry host. Its methods are those of Backend;
+// their errors are of type *Error or *UnreachableError. It never retries a request. It is
+// safe for concurrent use.
 type Client struct {
 	address netip.AddrPort
 	timeout time.Duration
@@ -54,7 +54,7 @@
 	return &Client{address: address, timeout: timeout}
 }
 
-// ApplyConfiguration applies s.
+// ApplyConfiguration submits a configuration.
 func (c *Client) ApplyConfiguration(ctx context.Context, s publisher.Submission) (publisher.Applied, error) {
 	return call[publisher.Applied](ctx, c, fasthttp.MethodPost, "config/apply", nil, s)
 }
@@ -64,7 +64,7 @@
 	return call[ConfigurationView](ctx, c, fasthttp.MethodGet, "config/show", nil, nil)
 }
 
-// ConfigurationHistory returns the newest records first.
+// ConfigurationHistory returns up to limit records, newest first.
 func (c *Client) ConfigurationHistory(ctx context.Context, limit int) ([]configurator.Record, error) {
 	return call[[]configurator.Record](ctx, c, fasthttp.MethodGet, "config/history",
 		url.Values{"limit": {strconv.Itoa(limit)}}, nil)
@@ -80,7 +80,7 @@
 	return call[scheduler.JobStatus](ctx, c, fasthttp.MethodPost, "job/cancel", nil, nameBody{Name: name})
 }
 
-// ListJobs returns the jobs that f selects.
+// ListJobs returns the jobs that match f.
 func (c *Client) ListJobs(ctx context.Context, f JobFilter) ([]scheduler.JobStatus, error) {
 	return call[[]scheduler.JobStatus](ctx, c, fasthttp.MethodGet, "job/list",
 		url.Values{"team": {f.Team}, "state": {string(f.State)}, "limit": {strconv.Itoa(f.Limit)}}, nil)
@@ -128,29 +128,29 @@
 
 func call[T any](ctx context.Context, c *Client, method, path string, query url.Values, body any) (T, error) {
 	var answer T
-	q, p := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(q)
-	defer fasthttp.ReleaseResponse(p)
+	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(req)
+	defer fasthttp.ReleaseResponse(resp)
 	u := url.URL{Scheme: "http", Host: c.address.String(), Path: "/admin/" + path, RawQuery: query.Encode()}
-	q.SetRequestURI(u.String())
-	q.Header.SetMethod(method)
+	req.SetRequestURI(u.String())
+	req.Header.SetMethod(method)
 	if body != nil {
 		raw, err := json.Marshal(body)
 		if err != nil {
 			return answer, &UnreachableError{Address: c.address, Cause: err}
 		}
-		q.Header.SetContentType("application/json")
-		q.SetBodyRaw(raw)
+		req.Header.SetContentType("application/json")
+		req.SetBodyRaw(raw)
 	}
-	if err := c.do(ctx, q, p); err != nil {
+	if err := c.do(ctx, req, resp); err != nil {
 		return answer, err
 	}
-	return decodeAnswer[T](c, p)
+	return decodeAnswer[T](c, resp)
 }
 
-// do sends q once. Library retries are off because a repeated submission could hide
-// that the first one took effect.
-func (c *Client) do(ctx context.Context, q *fasthttp.Request, p *fasthttp.Response) error {
+// do sends req once, over a connection of its own. The retries of fasthttp's clients are
+// avoided because a retried submission could hide that the first attempt took effect.
+func (c *Client) do(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) error {
 	if err := ctx.Err(); err != nil {
 		return &UnreachableError{Address: c.address, Cause: err}
 	}
@@ -163,28 +163,28 @@
 	defer func() { _ = connection.Close() }()
 	stop := context.AfterFunc(ctx, func() { _ = connection.Close() })
 	defer stop()
-	if err := exchange(connection, q, p); err != nil {
+	if err := roundTrip(connection, req, resp); err != nil {
 		if ctx.Err() != nil {
-			err = ctx.Err() // the connection was closed for this reason
+			err = ctx.Err() // the connection was closed because ctx ended
 		}
 		return &UnreachableError{Address: c.address, Sent: true, Cause: err}
 	}
 	return nil
 }
 
-func decodeAnswer[T any](c *Client, p *fasthttp.Response) (T, error) {
+func decodeAnswer[T any](c *Client, resp *fasthttp.Response) (T, error) {
 	var answer T
-	if p.StatusCode() == fasthttp.StatusOK {
-		if err := json.Unmarshal(p.Body(), &answer); err != nil {
+	if resp.StatusCode() == fasthttp.StatusOK {
+		if err := json.Unmarshal(resp.Body(), &answer); err != nil {
 			return answer, &UnreachableError{Address: c.address, Sent: true, Cause: err}
 		}
 		return answer, nil
 	}
 	var failure struct{ Error *Error }
-	decoder := json.NewDecoder(bytes.NewReader(p.Body()))
+	decoder := json.NewDecoder(bytes.NewReader(resp.Body()))
 	if err := decoder.Decode(&failure); err != nil || failure.Error == nil {
 		return answer, &UnreachableError{Address: c.address, Sent: true,
-			Cause: fmt.Errorf("status %d without a readable error", p.StatusCode())}
+			Cause: fmt.Errorf("status %d without a readable error", resp.StatusCode())}
 	}
 	return answer, failure.Error
 }
--- a/internal/administrator/exchange.go
+++ b/internal/administrator/exchange.go
@@ -7,15 +7,15 @@
 	"github.com/valyala/fasthttp"
 )
 
-// exchange writes q to a fresh connection and reads the complete response.
-func exchange(c net.Conn, q *fasthttp.Request, p *fasthttp.Response) error {
-	q.SetConnectionClose()
+// roundTrip writes req to a new connection and reads the complete response.
+func roundTrip(c net.Conn, req *fasthttp.Request, resp *fasthttp.Response) error {
+	req.SetConnectionClose()
 	w := bufio.NewWriter(c)
-	if err := q.Write(w); err != nil {
+	if err := req.Write(w); err != nil {
 		return err
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	return p.ReadLimitBody(bufio.NewReader(c), maxAnswerSize)
+	return resp.ReadLimitBody(bufio.NewReader(c), maxAnswerBytes)
 }
--- a/internal/administrator/server.go
+++ b/internal/administrator/server.go
@@ -20,34 +20,35 @@
 	"peridotpitch/internal/storer"
 )
 
-// RequestTimeout bounds the work on one operator's request. It exceeds the time that a
-// lost store answer takes to resolve.
+// RequestTimeout bounds the handling of one operator's request. It is longer than it takes
+// to find out whether a store write whose answer was lost has taken effect.
 const RequestTimeout = 30 * time.Second
 
-// maxRequestSize bounds a request's body, in bytes. A configuration is at most
-// configurator.MaxTextSize before it is encoded.
-const maxRequestSize = 4 << 20
+// maxRequestBytes bounds the body of a request. The text of a configuration has at most
+// configurator.MaxTextSize bytes before it is encoded.
+const maxRequestBytes = 4 << 20
 
-// connectionTimeout bounds the reading of a request and the writing of an answer.
-const connectionTimeout = 10 * time.Second
+// ioTimeout bounds reading a request, and writing an answer.
+const ioTimeout = 10 * time.Second
 
-// maxConnections bounds the operators' connections.
+// maxConnections bounds the number of open connections from operators.
 const maxConnections = 64
 
-// defaultHistoryLimit is the number of history records that are shown unless asked for.
+// defaultHistoryLimit is the number of history records in an answer if the request sets no
+// limit.
 const defaultHistoryLimit = 20
 
-// nameBody is the body of requests that concern one job or host.
+// nameBody is the body of a request about one job or host.
 type nameBody struct{ Name string }
 
-// route is one path under /admin/.
+// route is the method and handler of one path under /admin/.
 type route struct {
 	method string
 	path   string
-	work   func(ctx context.Context, b Backend, q *fasthttp.RequestCtx) (any, error)
+	handle func(ctx context.Context, b Backend, req *fasthttp.RequestCtx) (any, error)
 }
 
-// routes is the table of all paths.
+// routes lists the paths under /admin/.
 var routes = []route{
 	{fasthttp.MethodPost, "config/apply", applyConfiguration},
 	{fasthttp.MethodGet, "config/show", func(ctx context.Context, b Backend, _ *fasthttp.RequestCtx) (any, error) {
@@ -86,67 +87,69 @@
 }
 
 // NewServer returns an HTTP server for operators. The caller serves and shuts it down.
-// ctx ends the work of requests that are still running.
+// When ctx ends, requests in progress are canceled.
 func NewServer(ctx context.Context, b Backend) *fasthttp.Server {
 	return &fasthttp.Server{
 		Name:                  "peridotpitch",
-		Handler:               func(q *fasthttp.RequestCtx) { handle(ctx, b, q) },
-		ReadTimeout:           connectionTimeout,
-		WriteTimeout:          connectionTimeout,
-		MaxRequestBodySize:    maxRequestSize,
+		Handler:               func(req *fasthttp.RequestCtx) { handle(ctx, b, req) },
+		ReadTimeout:           ioTimeout,
+		WriteTimeout:          ioTimeout,
+		MaxRequestBodySize:    maxRequestBytes,
 		Concurrency:           maxConnections,
 		NoDefaultServerHeader: true,
 		CloseOnShutdown:       true,
 	}
 }
 
-func handle(ctx context.Context, b Backend, q *fasthttp.RequestCtx) {
+func handle(ctx context.Context, b Backend, req *fasthttp.RequestCtx) {
 	ctx, cancel := context.WithTimeout(ctx, RequestTimeout)
 	defer cancel()
-	answer, err := find(q)(ctx, b, q)
+	answer, err := handlerFor(req)(ctx, b, req)
 	if err != nil {
-		e := translate(err)
-		write(q, statusOf(e.Code), struct{ Error *Error }{e})
+		e := toError(err)
+		writeJSON(req, httpStatus(e.Code), struct{ Error *Error }{e})
 		return
 	}
-	write(q, fasthttp.StatusOK, answer)
+	writeJSON(req, fasthttp.StatusOK, answer)
 }
 
-// find returns the work of the request's route, or work that reports what is allowed.
-func find(q *fasthttp.RequestCtx) func(context.Context, Backend, *fasthttp.RequestCtx) (any, error) {
-	path, ok := strings.CutPrefix(string(q.Path()), "/admin/")
+// handlerFor returns the handler of the request's route, or a handler that answers with an
+// error if the path does not exist or accepts another method only.
+func handlerFor(req *fasthttp.RequestCtx) func(context.Context, Backend, *fasthttp.RequestCtx) (any, error) {
+	path, ok := strings.CutPrefix(string(req.Path()), "/admin/")
 	for _, r := range routes {
 		if !ok || r.path != path {
 			continue
 		}
-		if string(q.Method()) != r.method {
-			return refuse(CodeBadRequest, "/admin/%s accepts %s only", path, r.method)
+		if string(req.Method()) != r.method {
+			return errorHandler(CodeBadRequest, "/admin/%s accepts %s only", path, r.method)
 		}
-		return r.work
+		return r.handle
 	}
-	return refuse(CodeNotFound, "path %s does not exist", q.Path())
+	return errorHandler(CodeNotFound, "path %s does not exist", req.Path())
 }
 
-func refuse(code Code, format string, args ...any) func(context.Context, Backend, *fasthttp.RequestCtx) (any, error) {
+func errorHandler(code Code, format string, args ...any) func(context.Context, Backend, *fasthttp.RequestCtx) (any, error) {
 	return func(context.Context, Backend, *fasthttp.RequestCtx) (any, error) {
 		return nil, &Error{Code: code, Message: fmt.Sprintf(format, args...)}
 	}
 }
 
-func write(q *fasthttp.RequestCtx, status int, v any) {
+func writeJSON(req *fasthttp.RequestCtx, status int, v any) {
 	body, err := json.Marshal(v)
 	if err != nil {
-		q.Error(err.Error(), fasthttp.StatusInternalServerError)
+		req.Error(err.Error(), fasthttp.StatusInternalServerError)
 		return
 	}
-	q.SetStatusCode(status)
-	q.SetContentType("application/json")
-	q.SetBody(body)
+	req.SetStatusCode(status)
+	req.SetContentType("application/json")
+	req.SetBody(body)
 }
 
-// read decodes the body strictly, so that a misspelt field is not silently dropped.
-func read(q *fasthttp.RequestCtx, v any) error {
-	d := json.NewDecoder(bytes.NewReader(q.PostBody()))
+// decodeBody decodes the request's body. Unknown fields are errors, so that a misspelt
+// field is not silently dropped.
+func decodeBody(req *fasthttp.RequestCtx, v any) error {
+	d := json.NewDecoder(bytes.NewReader(req.PostBody()))
 	d.DisallowUnknownFields()
 	err := d.Decode(v)
 	if err == nil {
@@ -159,9 +162,9 @@
 }
 
 func withBodyName(f func(context.Context, Backend, string) (any, error)) func(context.Context, Backend, *fasthttp.RequestCtx) (any, error) {
-	return func(ctx context.Context, b Backend, q *fasthttp.RequestCtx) (any, error) {
+	return func(ctx context.Context, b Backend, req *fasthttp.RequestCtx) (any, error) {
 		var body nameBody
-		if err := read(q, &body); err != nil {
+		if err := decodeBody(req, &body); err != nil {
 			return nil, err
 		}
 		if body.Name == "" {
@@ -172,8 +175,8 @@
 }
 
 func withParameter(name string, f func(context.Context, Backend, string) (any, error)) func(context.Context, Backend, *fasthttp.RequestCtx) (any, error) {
-	return func(ctx context.Context, b Backend, q *fasthttp.RequestCtx) (any, error) {
-		v := string(q.QueryArgs().Peek(name))
+	return func(ctx context.Context, b Backend, req *fasthttp.RequestCtx) (any, error) {
+		v := string(req.QueryArgs().Peek(name))
 		if v == "" {
 			return nil, &Error{Code: CodeBadRequest, Message: fmt.Sprintf("parameter %s is missing", name)}
 		}
@@ -181,21 +184,21 @@
 	}
 }
 
-func applyConfiguration(ctx context.Context, b Backend, q *fasthttp.RequestCtx) (any, error) {
+func applyConfiguration(ctx context.Context, b Backend, req *fasthttp.RequestCtx) (any, error) {
 	var s publisher.Submission
-	if err := read(q, &s); err != nil {
+	if err := decodeBody(req, &s); err != nil {
 		return nil, err
 	}
 	return b.ApplyConfiguration(ctx, s)
 }
 
-// jobNamePattern bounds names because journals, which hold them, are at most 1 MB, and
-// keeps log lines and tables readable.
+// jobNamePattern bounds the length of job names because journals, which contain them, have
+// at most 1 MB. It excludes characters that make log lines and tables hard to read.
 var jobNamePattern = regexp.MustCompile(`^[A-Za-z0-9._:/@+-]{1,128}$`)
 
-func submitJob(ctx context.Context, b Backend, q *fasthttp.RequestCtx) (any, error) {
+func submitJob(ctx context.Context, b Backend, req *fasthttp.RequestCtx) (any, error) {
 	var spec scheduler.JobSpec
-	if err := read(q, &spec); err != nil {
+	if err := decodeBody(req, &spec); err != nil {
 		return nil, err
 	}
 	if spec.Name == "" || spec.Class == "" || spec.Team == "" {
@@ -210,21 +213,22 @@
 	return b.SubmitJob(ctx, spec)
 }
 
-func configurationHistory(ctx context.Context, b Backend, q *fasthttp.RequestCtx) (any, error) {
-	limit, err := limitParameter(q, defaultHistoryLimit, publisher.HistoryLimit)
+func configurationHistory(ctx context.Context, b Backend, req *fasthttp.RequestCtx) (any, error) {
+	limit, err := limitParameter(req, defaultHistoryLimit, publisher.HistoryLimit)
 	if err != nil {
 		return nil, err
 	}
 	return b.ConfigurationHistory(ctx, limit)
 }
 
-// jobStates are the values of the parameter state.
+// jobStates lists the accepted values of the parameter state.
 var jobStates = []scheduler.JobState{
 	scheduler.JobPending, scheduler.JobStarting, scheduler.JobRunning, scheduler.JobEvicting, scheduler.JobCanceling,
 	scheduler.JobFinished, scheduler.JobFailed, scheduler.JobCancelled, scheduler.JobRejected,
 }
 
-// ParseJobState returns the state with the given text.
+// ParseJobState returns the job state with the given text, or an *Error that lists the
+// accepted ones.
 func ParseJobState(text string) (scheduler.JobState, error) {
 	names := make([]string, len(jobStates))
 	for i, s := range jobStates {
@@ -239,46 +243,46 @@
 // MaxJobLimit bounds the number of jobs in one answer.
 const MaxJobLimit = 50000
 
-func listJobs(ctx context.Context, b Backend, q *fasthttp.RequestCtx) (any, error) {
-	f := JobFilter{Team: string(q.QueryArgs().Peek("team"))}
+func listJobs(ctx context.Context, b Backend, req *fasthttp.RequestCtx) (any, error) {
+	f := JobFilter{Team: string(req.QueryArgs().Peek("team"))}
 	var err error
-	if text := string(q.QueryArgs().Peek("state")); text != "" {
+	if text := string(req.QueryArgs().Peek("state")); text != "" {
 		if f.State, err = ParseJobState(text); err != nil {
 			return nil, err
 		}
 	}
-	if f.Limit, err = limitParameter(q, DefaultJobLimit, MaxJobLimit); err != nil {
+	if f.Limit, err = limitParameter(req, DefaultJobLimit, MaxJobLimit); err != nil {
 		return nil, err
 	}
 	return b.ListJobs(ctx, f)
 }
 
-func limitParameter(q *fasthttp.RequestCtx, standard, most int) (int, error) {
-	text := string(q.QueryArgs().Peek("limit"))
+func limitParameter(req *fasthttp.RequestCtx, defaultLimit, maxLimit int) (int, error) {
+	text := string(req.QueryArgs().Peek("limit"))
 	if text == "" || text == "0" {
-		return standard, nil
+		return defaultLimit, nil
 	}
 	n, err := strconv.Atoi(text)
-	if err != nil || n < 1 || n > most {
-		return 0, &Error{Code: CodeBadRequest, Message: fmt.Sprintf("parameter limit %q is not accepted; allowed: 1 to %d", text, most)}
+	if err != nil || n < 1 || n > maxLimit {
+		return 0, &Error{Code: CodeBadRequest, Message: fmt.Sprintf("parameter limit %q is not accepted; allowed: 1 to %d", text, maxLimit)}
 	}
 	return n, nil
 }
 
-// translate gives each error of the Backend a code. An error that says that a write
-// may have taken effect never becomes one that says that it has not.
-func translate(err error) *Error {
-	var typed *Error
+// toError converts an error of the Backend to an *Error with a code. An error after which a
+// write may have taken effect never gets a code that says that it had no effect.
+func toError(err error) *Error {
+	var adminError *Error
 	var refused *configurator.RefusedError
-	var lost *publisher.LostRaceError
-	var unchanged *publisher.NotAppliedError
-	var unknown *publisher.UnknownError
+	var lostRace *publisher.LostRaceError
+	var notApplied *publisher.NotAppliedError
+	var unknownSubmission *publisher.UnknownError
 	var unavailable *storer.UnavailableError
-	var limited *storer.RateLimitedError
-	var lostAnswer *storer.UnknownOutcomeError
+	var rateLimited *storer.RateLimitedError
+	var unknownOutcome *storer.UnknownOutcomeError
 	switch {
-	case errors.As(err, &typed):
-		return typed
+	case errors.As(err, &adminError):
+		return adminError
 	case errors.As(err, &refused):
 		e := &Error{Code: CodeRefused, Message: err.Error(), Reason: refused.Reason}
 		if refused.Invalid != nil {
@@ -286,21 +290,21 @@
 			e.Message = fmt.Sprintf("configuration refused: %s, %d faults", refused.Reason, len(e.Faults))
 		}
 		return e
-	case errors.As(err, &lost):
-		return &Error{Code: CodeLostRace, Message: err.Error(), Winner: lost.AppliedBy, Diff: lost.Diff}
-	case errors.As(err, &unknown):
+	case errors.As(err, &lostRace):
+		return &Error{Code: CodeLostRace, Message: err.Error(), Winner: lostRace.AppliedBy, Diff: lostRace.Diff}
+	case errors.As(err, &unknownSubmission):
 		return &Error{Code: CodeUnknownOutcome, Message: err.Error()}
-	case errors.As(err, &unchanged):
+	case errors.As(err, &notApplied):
 		return &Error{Code: CodeUnavailable, Message: err.Error()}
-	case errors.As(err, &lostAnswer), errors.Is(err, context.DeadlineExceeded), errors.Is(err, context.Canceled):
+	case errors.As(err, &unknownOutcome), errors.Is(err, context.DeadlineExceeded), errors.Is(err, context.Canceled):
 		return &Error{Code: CodeUnknownOutcome, Message: err.Error()}
-	case errors.As(err, &unavailable), errors.As(err, &limited):
+	case errors.As(err, &unavailable), errors.As(err, &rateLimited):
 		return &Error{Code: CodeUnavailable, Message: err.Error()}
 	}
 	return &Error{Code: CodeInternal, Message: err.Error()}
 }
 
-func statusOf(c Code) int {
+func httpStatus(c Code) int {
 	switch c {
 	case CodeBadRequest:
 		return fasthttp.StatusBadRequest
--- a/internal/administrator/server_test.go
+++ b/internal/administrator/server_test.go
@@ -20,7 +20,7 @@
 	"peridotpitch/internal/storer"
 )
 
-// fakeBackend keeps the last call and answers it with err.
+// fakeBackend records the last call, as text, and returns err from every call.
 type fakeBackend struct {
 	last string
 	err  error
@@ -71,7 +71,7 @@
 	return Status{Host: "h", Uptime: time.Minute}, b.call("status")
 }
 
-// startServer serves b on a loopback address.
+// startServer serves b on a loopback address and returns a client of it.
 func startServer(t *testing.T, b Backend) *Client {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -84,14 +84,15 @@
 	return NewClient(l.Addr().(*net.TCPAddr).AddrPort(), 10*time.Second)
 }
 
-// Guards against a route that is missing, calls another method, or loses a field.
+// Guards against a route that is missing, that calls the wrong method of the Backend, or
+// that loses a field of the request or the answer.
 func TestRoutes(t *testing.T) {
 	is := is.New(t)
 	b := &fakeBackend{}
 	c := startServer(t, b)
 	ctx := t.Context()
 	for _, k := range []struct {
-		want   string // the backend's call and the client's answer
+		want   string // the recorded call of the backend and the client's answer
 		answer func() (any, error)
 	}{
 		{"apply t s ana 3 me: d", func() (any, error) {
@@ -124,9 +125,9 @@
 	}
 }
 
-// Guards against an error that arrives as another one, above all an unknown outcome
-// that arrives as a failure.
-func TestErrors(t *testing.T) {
+// Guards against a backend error that reaches the client with the wrong code. Above all, an
+// unknown outcome must not arrive as a failure without effect.
+func TestErrorCodes(t *testing.T) {
 	is := is.New(t)
 	b := &fakeBackend{}
 	c := startServer(t, b)
@@ -159,7 +160,8 @@
 	}
 }
 
-// Guards against a misspelt request that is taken as another one.
+// Guards against a request with a misspelt or missing part that is executed as a different
+// request.
 func TestBadRequests(t *testing.T) {
 	is := is.New(t)
 	b := &fakeBackend{}
@@ -181,21 +183,22 @@
 		{"GET", "/admin/job/list?limit=-1", "", 400},
 		{"GET", "/admin/explain", "", 400},
 	} {
-		q, p := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-		q.SetRequestURI("http://" + c.address.String() + k.path)
-		q.Header.SetMethod(k.method)
-		q.SetBodyString(k.body)
-		is.NoErr(fasthttp.DoTimeout(q, p, 10*time.Second))
-		is.Equal(p.StatusCode(), k.want)
+		req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+		req.SetRequestURI("http://" + c.address.String() + k.path)
+		req.Header.SetMethod(k.method)
+		req.SetBodyString(k.body)
+		is.NoErr(fasthttp.DoTimeout(req, resp, 10*time.Second))
+		is.Equal(resp.StatusCode(), k.want)
 		var failure struct{ Error Error }
-		is.NoErr(json.Unmarshal(p.Body(), &failure))
+		is.NoErr(json.Unmarshal(resp.Body(), &failure))
 		is.True(failure.Error.Message != "")
 		is.Equal(b.last, "") // the backend was not called
 	}
 }
 
-// Guards against a request whose answer was lost being reported as not sent.
-func TestUnreachable(t *testing.T) {
+// Guards against a request whose answer was lost that is reported as not sent, and against
+// a refused connection that is reported as sent.
+func TestUnreachableErrorTellsWhetherSent(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
