--- a/internal/commander/client.go
+++ b/internal/commander/client.go
@@ -14,20 +14,21 @@
 )
 
 const (
-	// maxAnswerSize bounds a report: 1,000 listed tasks take about 400 kB.
-	maxAnswerSize = 8 << 20
-	// idleAfter is the age at which the connections of an unused address are dropped.
-	idleAfter = 10 * time.Minute
-	// maxConnections per worker; a slow call must not delay the next report.
-	maxConnections = 8
+	// maxAnswerBytes bounds an answer. A report with 1,000 tasks takes about 400 kB.
+	maxAnswerBytes = 8 << 20
+	// maxPosterIdle is the time without calls after which the poster of an address is
+	// removed.
+	maxPosterIdle = 10 * time.Minute
+	// maxConnectionsPerWorker is above 1 so that a slow call does not delay the next report.
+	maxConnectionsPerWorker = 8
 )
 
-// UnreachableError says that a worker gave no usable answer. The message certainly had
-// no effect only if Sent is false.
+// UnreachableError reports that a worker gave no usable answer. If Sent is true, the message
+// may have taken effect; if it is false, the message had no effect.
 type UnreachableError struct {
 	Address netip.AddrPort
 	Sent    bool
-	Status  int // HTTP status, 0 if no answer came
+	Status  int // HTTP status, 0 if no answer arrived
 	Reason  string
 }
 
@@ -41,17 +42,18 @@
 	DialTimeout time.Duration
 }
 
-// Client implements Workers over HTTP. It keeps connections per worker.
+// Client implements Workers over HTTP. It keeps a connection pool for each worker.
 type Client struct {
 	options poster.Options
-	mu      sync.Mutex // guards posters; held only for look-ups
-	posters map[netip.AddrPort]*entry
+	mu      sync.Mutex // guards posters; not held during calls
+	posters map[netip.AddrPort]*posterEntry
 }
 
-type entry struct {
-	poster  *poster.Poster
-	close   func()
-	lastUse time.Time
+// posterEntry is the connection pool of one worker.
+type posterEntry struct {
+	poster     *poster.Poster
+	closeIdle  func()
+	lastUsedAt time.Time
 }
 
 var _ Workers = (*Client)(nil)
@@ -61,9 +63,9 @@
 	c := &Client{
 		options: poster.Options{
 			Timeout: o.Timeout, DialTimeout: o.DialTimeout,
-			MaxConnections: maxConnections, MaxAnswerSize: maxAnswerSize,
+			MaxConnections: maxConnectionsPerWorker, MaxAnswerBytes: maxAnswerBytes,
 		},
-		posters: make(map[netip.AddrPort]*entry),
+		posters: make(map[netip.AddrPort]*posterEntry),
 	}
 	return c, c.close
 }
@@ -103,7 +105,7 @@
 }
 
 func (c *Client) call(ctx context.Context, address netip.AddrPort, path string, in, out any) error {
-	a, err := c.poster(address).Post(ctx, path, in)
+	a, err := c.posterFor(address).Post(ctx, path, in)
 	if err != nil {
 		var pe *poster.Error
 		sent := !errors.As(err, &pe) || pe.Sent
@@ -120,24 +122,24 @@
 	return nil
 }
 
-// poster returns the poster of address. When it creates one, it drops those that were
-// not used for idleAfter, so that replaced workers leave nothing behind.
-func (c *Client) poster(address netip.AddrPort) *poster.Poster {
+// posterFor returns the poster of address. When it creates one, it removes those that have
+// been unused for maxPosterIdle, so that posters of replaced workers do not accumulate.
+func (c *Client) posterFor(address netip.AddrPort) *poster.Poster {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if e, ok := c.posters[address]; ok {
-		e.lastUse = now
+		e.lastUsedAt = now
 		return e.poster
 	}
 	for a, e := range c.posters {
-		if now.Sub(e.lastUse) > idleAfter {
-			e.close()
+		if now.Sub(e.lastUsedAt) > maxPosterIdle {
+			e.closeIdle()
 			delete(c.posters, a)
 		}
 	}
 	p, stop := poster.New(address, c.options)
-	c.posters[address] = &entry{poster: p, close: stop, lastUse: now}
+	c.posters[address] = &posterEntry{poster: p, closeIdle: stop, lastUsedAt: now}
 	return p
 }
 
@@ -145,7 +147,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for a, e := range c.posters {
-		e.close()
+		e.closeIdle()
 		delete(c.posters, a)
 	}
 }
--- a/internal/commander/doc.go
+++ b/internal/commander/doc.go
@@ -1,3 +1,3 @@
-// Package commander is the transport to workers: JSON over HTTP POST. It makes no
-// decisions and retries nothing.
+// Package commander is the client of the workers: it sends commands and requests for
+// reports as JSON by HTTP POST. It makes no decisions and retries no request.
 package commander
--- a/internal/commander/message.go
+++ b/internal/commander/message.go
@@ -11,7 +11,7 @@
 // TaskState is the state of a task as its worker reports it.
 type TaskState string
 
-// Task states. Stopped tasks have a checkpoint, if one was taken.
+// Task states. A stopped task has a checkpoint if one was taken.
 const (
 	TaskStarting      TaskState = "starting"
 	TaskRunning       TaskState = "running"
@@ -21,12 +21,12 @@
 	TaskFailed        TaskState = "failed"
 )
 
-// Active reports whether a task in this state holds capacity.
+// Active reports whether a task in this state uses capacity of its worker.
 func (s TaskState) Active() bool {
 	return s == TaskStarting || s == TaskRunning || s == TaskCheckpointing
 }
 
-// TaskKind tells batch tasks from service instances.
+// TaskKind distinguishes batch tasks from service instances.
 type TaskKind string
 
 // Task kinds.
@@ -35,7 +35,7 @@
 	KindService TaskKind = "service"
 )
 
-// Verb is what a command asks of a worker.
+// Verb is the operation that a command requests.
 type Verb string
 
 // Verbs.
@@ -45,26 +45,27 @@
 	VerbCheckpoint Verb = "Checkpoint"
 	VerbThrottle   Verb = "Throttle"
 	VerbStop       Verb = "Stop"
-	VerbForget     Verb = "Forget"
+	VerbForget     Verb = "Forget" // removes an ended task from the worker's reports
 )
 
-// WorkerTime is a reading of a worker's own monotonic clock, in time since that
-// worker process started. It is comparable only within one Incarnation.
+// WorkerTime is a reading of a worker's monotonic clock: the time since the worker process
+// started. Readings are comparable only within one Incarnation.
 type WorkerTime = time.Duration
 
-// Report is a worker's inventory.
+// Report is a worker's state: its capacity and its tasks.
 type Report struct {
 	Worker      string
 	Incarnation string
 	Clock       WorkerTime
-	MeasuredAt  WorkerTime // when the usage figures were taken, older than Clock by the lag
+	MeasuredAt  WorkerTime // when resource usage was measured; before Clock by the measurement lag
 	Epoch       uint64
 	Capacity    configurator.Resources
-	Leaving     bool // the worker asks to be drained
+	Leaving     bool // the worker requests to be drained
 	Tasks       []TaskReport
 }
 
-// TaskReport describes one task in a Report. Ended tasks stay listed until Forget.
+// TaskReport describes one task in a Report. An ended task stays in the reports until the
+// worker executes a command with VerbForget.
 type TaskReport struct {
 	Task       string
 	Attempt    int
@@ -74,33 +75,33 @@
 	State      TaskState
 	Declared   configurator.Resources
 	Used       configurator.Resources
-	Slowdown   float64 // run time per unit of work over the uncontended one; 0 if unknown
-	Throttle   float64 // share of declared cores the task is limited to; 0 or 1 is no limit
+	Slowdown   float64 // run time per unit of work, divided by the run time without contention; 0 if unknown
+	Throttle   float64 // share of its declared cores that the task may use; 0 or 1 means no limit
 	LeaseEnd   WorkerTime
 	Checkpoint string // last complete checkpoint
 	Address    string // ip:port of a service instance
 	Reason     string // why the task stopped or failed
 }
 
-// Command asks a worker to do something with one task.
+// Command requests an operation on one task from a worker.
 type Command struct {
 	Verb    Verb
 	Task    string
 	Attempt int
-	// Incarnation is the worker process that the command is for; another one refuses it.
-	// A restarted worker has forgotten its epoch, and its clock starts anew, so neither
-	// would stop a delayed start.
+	// Incarnation identifies the worker process that the command is for; any other process
+	// refuses it. A restarted worker has lost the epoch that it had accepted, and its clock
+	// restarts at 0, so neither the epoch nor NotAfter would stop a delayed start.
 	Incarnation string
 	Kind        TaskKind
 	Class       string
 	Service     string
 	Declared    configurator.Resources
 	Slots       int           // of a service instance
-	Duration    time.Duration // of work; used by the stand-in worker only
-	Checkpoint  string        // to resume from
+	Duration    time.Duration // of the work; only the stand-in worker uses it
+	Checkpoint  string        // checkpoint to resume from, empty for none
 	LeaseEnd    WorkerTime
-	NotAfter    WorkerTime // the worker refuses the command after this reading of its clock
-	Limit       float64    // share of declared cores, for Throttle
+	NotAfter    WorkerTime // reading of the worker's clock after which it refuses the command
+	Limit       float64    // share of the task's declared cores, for VerbThrottle
 	Grace       time.Duration
 }
 
@@ -111,7 +112,8 @@
 	Reason string
 }
 
-// FenceAnswer is a worker's answer to a fence.
+// FenceAnswer is a worker's answer to a fence, which is a shard owner's request to accept its
+// epoch and to refuse commands with a lower one.
 type FenceAnswer struct {
 	Accepted bool
 	Epoch    uint64 // highest epoch that the worker has accepted
@@ -125,8 +127,8 @@
 	Results  []Result
 }
 
-// Workers sends messages to workers. An error of type *UnreachableError means that the
-// message may or may not have taken effect.
+// Workers sends messages to workers. After an error of type *UnreachableError, the message
+// may have taken effect if the error's Sent is true.
 type Workers interface {
 	Fence(ctx context.Context, address netip.AddrPort, epoch uint64, owner string) (FenceAnswer, error)
 	Report(ctx context.Context, address netip.AddrPort) (Report, error)
--- a/internal/poster/poster.go
+++ b/internal/poster/poster.go
@@ -19,8 +19,8 @@
 	DefaultTimeout         = 2 * time.Second
 	DefaultDialTimeout     = time.Second
 	DefaultMaxConnections  = 64
-	DefaultMaxAnswerSize   = 64 << 20        // bytes
-	defaultMaxIdleDuration = 5 * time.Second // below the idle timeout of usual servers
+	DefaultMaxAnswerBytes  = 64 << 20
+	defaultMaxIdleDuration = 5 * time.Second // shorter than the idle timeout of common servers
 )
 
 // Options configures a Poster. Zero fields take the defaults.
@@ -28,7 +28,7 @@
 	Timeout        time.Duration // of a call whose context has no earlier deadline
 	DialTimeout    time.Duration
 	MaxConnections int
-	MaxAnswerSize  int // bytes
+	MaxAnswerBytes int
 }
 
 func (o Options) withDefaults() Options {
@@ -41,17 +41,17 @@
 	if o.MaxConnections <= 0 {
 		o.MaxConnections = DefaultMaxConnections
 	}
-	if o.MaxAnswerSize <= 0 {
-		o.MaxAnswerSize = DefaultMaxAnswerSize
+	if o.MaxAnswerBytes <= 0 {
+		o.MaxAnswerBytes = DefaultMaxAnswerBytes
 	}
 	return o
 }
 
-// Error says how far a failed call got. A call with Sent false certainly had no effect.
+// Error reports a failed call. If Sent is false, the call had no effect.
 type Error struct {
 	Address netip.AddrPort
 	Path    string
-	Sent    bool // at least one byte of the request was handed to the network
+	Sent    bool // at least one byte of the request was written to the network
 	Cause   error
 }
 
@@ -66,14 +66,14 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Answer is a complete HTTP answer.
+// Answer is a complete HTTP response.
 type Answer struct {
 	Status     int
-	RetryAfter time.Duration // 0 if the answer has none
+	RetryAfter time.Duration // 0 if the response has none
 	Body       []byte
 }
 
-// Poster sends calls to one address.
+// Poster sends requests to one address. It is safe for concurrent use.
 type Poster struct {
 	address netip.AddrPort
 	options Options
@@ -88,7 +88,7 @@
 		Addr:                address.String(),
 		MaxConns:            o.MaxConnections,
 		MaxIdleConnDuration: defaultMaxIdleDuration,
-		MaxResponseBodySize: o.MaxAnswerSize,
+		MaxResponseBodySize: o.MaxAnswerBytes,
 		DialTimeout: func(addr string, timeout time.Duration) (net.Conn, error) {
 			if timeout <= 0 || timeout > o.DialTimeout {
 				timeout = o.DialTimeout
@@ -99,10 +99,10 @@
 	return p, p.client.CloseIdleConnections
 }
 
-// Address returns the address that calls go to.
+// Address returns the address of the server.
 func (p *Poster) Address() netip.AddrPort { return p.address }
 
-// Post sends in as JSON once and returns the answer, whatever its status. Errors are
+// Post sends in as JSON once and returns the answer, whatever its status code. Errors are
 // of type *Error.
 func (p *Poster) Post(ctx context.Context, path string, in any) (Answer, error) {
 	body, err := json.Marshal(in)
@@ -121,8 +121,9 @@
 	return a, nil
 }
 
-// exchange uses the client's connections directly instead of HostClient.Do, because Do
-// cannot be cancelled and does not tell whether the request was written.
+// exchange sends a request and reads the answer. It reports whether any byte of the request
+// was sent. It uses the client's connections directly instead of HostClient.Do, because Do
+// cannot be canceled and does not report whether the request was written.
 func (p *Poster) exchange(ctx context.Context, path string, body []byte) (Answer, bool, error) {
 	if err := ctx.Err(); err != nil {
 		return Answer{}, false, err
@@ -138,8 +139,8 @@
 	defer fasthttp.ReleaseResponse(resp)
 	err = p.roundTrip(conn, path, body, resp)
 	if !stop() && err == nil {
-		// The answer was complete before the call was abandoned; the connection is
-		// closed all the same.
+		// ctx ended after the answer was complete: the answer is valid, but the
+		// connection is closed.
 		p.client.CloseConn(cc)
 		return answerOf(resp), true, nil
 	}
@@ -169,7 +170,7 @@
 	if err := bw.Flush(); err != nil {
 		return err
 	}
-	return resp.ReadLimitBody(bufio.NewReader(conn), p.options.MaxAnswerSize)
+	return resp.ReadLimitBody(bufio.NewReader(conn), p.options.MaxAnswerBytes)
 }
 
 func answerOf(resp *fasthttp.Response) Answer {
@@ -180,7 +181,7 @@
 	return a
 }
 
-// countingConn counts the bytes that the network accepted.
+// countingConn counts the bytes that were written to the network.
 type countingConn struct {
 	net.Conn
 	written int
--- a/internal/poster/poster_test.go
+++ b/internal/poster/poster_test.go
@@ -14,8 +14,9 @@
 	"peridotpitch/internal/poster"
 )
 
-// raw answers each connection with text after it received something, and closes it.
-func raw(t *testing.T, text string) netip.AddrPort {
+// startRawServer starts a server that answers the first bytes on each connection with text
+// and closes the connection.
+func startRawServer(t *testing.T, text string) netip.AddrPort {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,19 +39,19 @@
 	return l.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// Guards against a damaged answer taken for a whole one.
-func TestDamagedAnswersAreErrors(t *testing.T) {
+// Guards against an incomplete or malformed answer that is accepted.
+func TestMalformedAnswersAreErrors(t *testing.T) {
 	for name, text := range map[string]string{
 		"no answer":        "",
-		"no header end":    "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n",
+		"no end of header": "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n",
 		"short body":       "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{}",
 		"cut chunk":        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{}",
 		"not HTTP":         "hello\r\n\r\n",
-		"over the maximum": "HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n",
+		"too large":        "HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			p, stop := poster.New(raw(t, text), poster.Options{MaxAnswerSize: 1000})
+			p, stop := poster.New(startRawServer(t, text), poster.Options{MaxAnswerBytes: 1000})
 			defer stop()
 			_, err := p.Post(t.Context(), "/x", struct{}{})
 			var e *poster.Error
@@ -60,10 +61,10 @@
 	}
 }
 
-// Guards against a call that was cancelled before it was sent and counts as sent.
-func TestCancelledCallIsNotSent(t *testing.T) {
+// Guards against a call that is canceled before it is sent and is reported as sent.
+func TestCanceledCallIsNotSent(t *testing.T) {
 	is := is.New(t)
-	p, stop := poster.New(raw(t, ""), poster.Options{})
+	p, stop := poster.New(startRawServer(t, ""), poster.Options{})
 	defer stop()
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -74,8 +75,9 @@
 	is.True(errors.Is(err, context.Canceled))
 }
 
-// Guards against a retry: fasthttp repeats requests on a closed connection by default.
-func TestNothingIsRepeated(t *testing.T) {
+// Guards against a retry: by default, fasthttp retries a request if the server closes the
+// connection.
+func TestRequestIsNotRetried(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/internal/storer/client.go
+++ b/internal/storer/client.go
@@ -12,7 +12,8 @@
 	"peridotpitch/internal/poster"
 )
 
-// defaultRetryAfter is reported if a 429 answer does not say when to retry.
+// defaultRetryAfter is the RetryAfter of a RateLimitedError if the answer with status 429
+// has none.
 const defaultRetryAfter = 100 * time.Millisecond
 
 // Options configures a Client. Zero fields take the defaults of package poster.
@@ -24,29 +25,29 @@
 
 // Client implements Store over HTTP.
 type Client struct {
-	calls   *poster.Poster
-	watches *poster.Poster // waiting watches get connections of their own
-	timeout time.Duration
+	callPoster  *poster.Poster
+	watchPoster *poster.Poster // of its own, so that waiting watches do not block other calls
+	timeout     time.Duration
 }
 
 var _ Store = (*Client)(nil)
 
-// maxWatchWait bounds the time that one watch waits.
+// maxWatchWait bounds the time that one watch call waits for changes.
 const maxWatchWait = time.Minute
 
 // NewClient returns a client of the store at address, and a function that closes its
 // idle connections.
 func NewClient(address netip.AddrPort, o Options) (*Client, func()) {
-	po := poster.Options{Timeout: o.Timeout, DialTimeout: o.DialTimeout, MaxConnections: o.MaxConnections}
-	if po.Timeout <= 0 {
-		po.Timeout = poster.DefaultTimeout
+	callOptions := poster.Options{Timeout: o.Timeout, DialTimeout: o.DialTimeout, MaxConnections: o.MaxConnections}
+	if callOptions.Timeout <= 0 {
+		callOptions.Timeout = poster.DefaultTimeout
 	}
-	wo := po
-	wo.Timeout += maxWatchWait
-	c := &Client{timeout: po.Timeout}
+	watchOptions := callOptions
+	watchOptions.Timeout += maxWatchWait
+	c := &Client{timeout: callOptions.Timeout}
 	var closeCalls, closeWatches func()
-	c.calls, closeCalls = poster.New(address, po)
-	c.watches, closeWatches = poster.New(address, wo)
+	c.callPoster, closeCalls = poster.New(address, callOptions)
+	c.watchPoster, closeWatches = poster.New(address, watchOptions)
 	return c, func() {
 		closeCalls()
 		closeWatches()
@@ -61,7 +62,7 @@
 		Revision      uint64
 		StoreRevision uint64
 	}
-	err := c.call(ctx, c.calls, "/kv/get", struct{ Key string }{key}, &out, "")
+	err := c.call(ctx, c.callPoster, "/kv/get", struct{ Key string }{key}, &out, "")
 	if err != nil {
 		return Entry{}, err
 	}
@@ -74,7 +75,7 @@
 		Entries       []Entry
 		StoreRevision uint64
 	}
-	err := c.call(ctx, c.calls, "/kv/list", struct{ Prefix string }{prefix}, &out, "")
+	err := c.call(ctx, c.callPoster, "/kv/list", struct{ Prefix string }{prefix}, &out, "")
 	return out.Entries, out.StoreRevision, err
 }
 
@@ -92,10 +93,10 @@
 		Swapped  bool
 		Revision uint64
 	}
-	err := c.call(ctx, c.calls, "/kv/cas", in, &out, key)
-	var l *TooLargeError
-	if errors.As(err, &l) {
-		l.Size = len(value)
+	err := c.call(ctx, c.callPoster, "/kv/cas", in, &out, key)
+	var tooLarge *TooLargeError
+	if errors.As(err, &tooLarge) {
+		tooLarge.Size = len(value)
 	}
 	return out.Swapped, out.Revision, err
 }
@@ -107,11 +108,11 @@
 		ExpectRevision uint64
 	}{key, expect}
 	var out struct{ Swapped bool }
-	err := c.call(ctx, c.calls, "/kv/delete", in, &out, key)
+	err := c.call(ctx, c.callPoster, "/kv/delete", in, &out, key)
 	return out.Swapped, err
 }
 
-// Watch implements Store. A wait over one minute is shortened to one minute.
+// Watch implements Store. It waits for maxWatchWait at most.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Events, error) {
 	wait = min(wait, maxWatchWait)
 	ctx, cancel := context.WithTimeout(ctx, wait+c.timeout)
@@ -122,25 +123,26 @@
 		Wait          time.Duration
 	}{prefix, after, wait}
 	var out Events
-	err := c.call(ctx, c.watches, "/kv/watch", in, &out, "")
+	err := c.call(ctx, c.watchPoster, "/kv/watch", in, &out, "")
 	return out, err
 }
 
 // Hosts implements Store.
 func (c *Client) Hosts(ctx context.Context) (HostList, error) {
 	var out HostList
-	err := c.call(ctx, c.calls, "/hosts/list", struct{}{}, &out, "")
+	err := c.call(ctx, c.callPoster, "/hosts/list", struct{}{}, &out, "")
 	return out, err
 }
 
-// call sends one call. A non-empty write names the key that the call writes; without
-// it the call has no effect on the store, so that a lost answer is not an unknown outcome.
-func (c *Client) call(ctx context.Context, p *poster.Poster, path string, in, out any, write string) error {
+// call sends in to path and decodes the answer into out. writtenKey is the key that the call
+// writes, empty for a read. If the answer to a read is lost, the error is an
+// *UnavailableError: a read changes nothing, so its outcome does not matter.
+func (c *Client) call(ctx context.Context, p *poster.Poster, path string, in, out any, writtenKey string) error {
 	a, err := p.Post(ctx, path, in)
 	if err != nil {
 		var pe *poster.Error
-		if write != "" && errors.As(err, &pe) && pe.Sent {
-			return &UnknownOutcomeError{Key: write, Reason: err.Error()}
+		if writtenKey != "" && errors.As(err, &pe) && pe.Sent {
+			return &UnknownOutcomeError{Key: writtenKey, Reason: err.Error()}
 		}
 		return &UnavailableError{Address: p.Address(), Reason: err.Error()}
 	}
@@ -154,20 +156,21 @@
 		}
 		return &RateLimitedError{RetryAfter: a.RetryAfter}
 	case http.StatusRequestEntityTooLarge:
-		return &TooLargeError{Key: write}
+		return &TooLargeError{Key: writtenKey}
 	default:
-		return c.unclear(p, write, fmt.Sprintf("%s was answered with unexpected status %d", path, a.Status))
+		return c.ambiguousAnswer(p, writtenKey, fmt.Sprintf("%s was answered with unexpected status %d", path, a.Status))
 	}
 	if err := json.Unmarshal(a.Body, out); err != nil {
-		return c.unclear(p, write, fmt.Sprintf("answer to %s cannot be decoded: %v", path, err))
+		return c.ambiguousAnswer(p, writtenKey, fmt.Sprintf("answer to %s cannot be decoded: %v", path, err))
 	}
 	return nil
 }
 
-// unclear classifies an answer that does not say whether the call took effect.
-func (c *Client) unclear(p *poster.Poster, write, reason string) error {
-	if write != "" {
-		return &UnknownOutcomeError{Key: write, Reason: reason}
+// ambiguousAnswer returns the error for an answer that does not say whether the call took
+// effect.
+func (c *Client) ambiguousAnswer(p *poster.Poster, writtenKey, reason string) error {
+	if writtenKey != "" {
+		return &UnknownOutcomeError{Key: writtenKey, Reason: reason}
 	}
 	return &UnavailableError{Address: p.Address(), Reason: reason}
 }
--- a/internal/storer/client_test.go
+++ b/internal/storer/client_test.go
@@ -15,7 +15,8 @@
 	"peridotpitch/internal/storer"
 )
 
-func start(t *testing.T, o emulator.PlatformOptions) (*emulator.Platform, *storer.Client) {
+// startPlatform starts an emulated platform and returns it and a client of its store.
+func startPlatform(t *testing.T, o emulator.PlatformOptions) (*emulator.Platform, *storer.Client) {
 	t.Helper()
 	p, address, stop, err := emulator.NewPlatform(o)
 	if err != nil {
@@ -27,11 +28,11 @@
 	return p, c
 }
 
-// Guards against a client that misreads the store's answers.
+// Guards against fields of requests or answers that are lost or misread by the client.
 func TestReadsAndWrites(t *testing.T) {
 	is := is.New(t)
 	ctx := t.Context()
-	p, c := start(t, emulator.PlatformOptions{})
+	p, c := startPlatform(t, emulator.PlatformOptions{})
 	p.SetHosts([]storer.Host{{Name: "e1", State: storer.HostLive}})
 
 	e, err := c.Get(ctx, "a/1")
@@ -43,7 +44,7 @@
 	ok, at, err := c.CompareAndSwap(ctx, "a/1", 0, []byte("y"))
 	is.NoErr(err)
 	is.True(!ok)
-	is.Equal(at, r1) // the current revision comes with a refused swap
+	is.Equal(at, r1) // a refused swap returns the current revision
 	ok, r2, err := c.CompareAndSwap(ctx, "a/1", r1, []byte("y"))
 	is.NoErr(err)
 	is.True(ok)
@@ -66,9 +67,9 @@
 	is.Equal(p.Counts().Writes(), 4)
 }
 
-// Guards against a write reported as certainly without effect although it took effect,
-// which would let an owner write twice, and against a repeated write.
-func TestWriteErrorsAreTruthful(t *testing.T) {
+// Guards against a write that took effect and is reported as without effect, after which a
+// shard's owner would write twice, and against a write that the client retries.
+func TestWriteErrorTypes(t *testing.T) {
 	var unknown *storer.UnknownOutcomeError
 	var unavailable *storer.UnavailableError
 	var limited *storer.RateLimitedError
@@ -78,7 +79,7 @@
 		options emulator.PlatformOptions
 		size    int
 		target  any
-		swapped int // writes that took effect
+		swapped int // number of writes that took effect
 	}{
 		{"refused with 503", emulator.PlatformOptions{Faults: emulator.Faults{Down: true}}, 1, &unavailable, 0},
 		{"answer lost", emulator.PlatformOptions{Faults: emulator.Faults{LoseAnswers: 1}}, 1, &unknown, 1},
@@ -86,15 +87,15 @@
 		{"answer late", emulator.PlatformOptions{Faults: emulator.Faults{LateAnswers: 1, LateBy: 2 * time.Second}}, 1, &unknown, 1},
 		{"no answer after the effect", emulator.PlatformOptions{Faults: emulator.Faults{CutAnswers: true}}, 1, &unknown, 1},
 		{"request lost", emulator.PlatformOptions{Faults: emulator.Faults{CutRequests: true}}, 1, &unknown, 0},
-		{"over the rate", emulator.PlatformOptions{StoreOptions: emulator.StoreOptions{WriteRate: 1e-9}}, 1, &limited, 1},
+		{"rate limit exceeded", emulator.PlatformOptions{StoreOptions: emulator.StoreOptions{WriteRate: 1e-9}}, 1, &limited, 1},
 		{"value too large", emulator.PlatformOptions{}, storer.MaxValueSize + 1, &large, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			p, s := start(t, c.options)
+			p, s := startPlatform(t, c.options)
 			if c.target == any(&limited) {
-				_, _, err := s.CompareAndSwap(t.Context(), "first", 0, nil) // takes the burst
+				_, _, err := s.CompareAndSwap(t.Context(), "first", 0, nil) // uses up the burst of the rate limit
 				is.NoErr(err)
 			}
 			_, _, err := s.CompareAndSwap(t.Context(), "k", 0, make([]byte, c.size))
@@ -105,16 +106,17 @@
 	}
 }
 
-// Guards against a read's lost answer reported as a write of unknown outcome.
+// Guards against a read whose answer was lost that is reported as an unknown outcome.
 func TestLostReadIsUnavailable(t *testing.T) {
 	is := is.New(t)
-	_, s := start(t, emulator.PlatformOptions{Faults: emulator.Faults{LoseAnswers: 1}})
+	_, s := startPlatform(t, emulator.PlatformOptions{Faults: emulator.Faults{LoseAnswers: 1}})
 	_, err := s.Get(t.Context(), "k")
 	var unavailable *storer.UnavailableError
 	is.True(errors.As(err, &unavailable))
 }
 
-// Guards against an unknown outcome reported for a store that cannot be reached.
+// Guards against a write to an unreachable store that is reported as an unknown outcome
+// although it was not sent.
 func TestRefusedConnectionIsUnavailable(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -128,10 +130,11 @@
 	is.True(errors.As(err, &unavailable))
 }
 
-// Guards against abandoned calls that keep a watch waiting at the store.
-func TestAbandonedWatchClosesItsConnection(t *testing.T) {
+// Guards against a canceled watch that keeps its connection open and goes on waiting at the
+// store.
+func TestCanceledWatchClosesItsConnection(t *testing.T) {
 	is := is.New(t)
-	p, c := start(t, emulator.PlatformOptions{})
+	p, c := startPlatform(t, emulator.PlatformOptions{})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error)
 	go func() {
--- a/internal/storer/database.go
+++ b/internal/storer/database.go
@@ -6,29 +6,30 @@
 	"time"
 )
 
-// Condition is met while a key's last change has the revision. Revision 0 means that
-// the key does not exist.
+// Condition is met if Revision is the revision of the key's last change. Revision 0 means
+// that the key does not exist.
 type Condition struct {
 	Key      string
 	Revision uint64
 }
 
-// Transaction writes several keys if all its conditions are met, and else none.
+// Transaction writes and deletes several keys if all its conditions are met, and otherwise
+// none.
 type Transaction struct {
 	Conditions []Condition
-	Puts       []Entry // Key and Value
+	Puts       []Entry // only Key and Value are used
 	Deletes    []string
 }
 
-// ConflictError says that a condition of a transaction was not met. Entries are the
-// conditions' keys as they are now; a key that does not exist has Revision 0.
+// ConflictError reports that a condition of a transaction was not met. Entries are the
+// current entries of the conditions' keys; a key that does not exist has Revision 0.
 type ConflictError struct{ Entries []Entry }
 
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("a condition of the transaction is not met; %d keys were compared", len(e.Entries))
 }
 
-// Revision returns a compared key's present revision.
+// Revision returns the current revision of a compared key, 0 if it does not exist.
 func (e *ConflictError) Revision(key string) uint64 {
 	for _, n := range e.Entries {
 		if n.Key == key {
@@ -38,8 +39,8 @@
 	return 0
 }
 
-// Database is a store with transactions. Its reads are linearizable. Errors are
-// *UnavailableError, *UnknownOutcomeError, *RateLimitedError and, of Commit,
+// Database is a key-value store with transactions. Its reads are linearizable. Errors are of
+// type *UnavailableError, *UnknownOutcomeError, *RateLimitedError or, from Commit,
 // *ConflictError.
 type Database interface {
 	// Get returns an entry with Revision 0 if the key does not exist.
@@ -48,9 +49,10 @@
 	// before the first of them was read.
 	List(ctx context.Context, prefix string) ([]Entry, uint64, error)
 	// Commit executes a transaction and returns its revision. After an
-	// *UnknownOutcomeError it may have been executed, or may be executed later while its
-	// conditions are met.
+	// *UnknownOutcomeError the transaction may have been executed, or may still be executed
+	// later if its conditions are met then.
 	Commit(ctx context.Context, t Transaction) (uint64, error)
-	// Watch waits for changes under prefix after the given store revision.
+	// Watch returns the changes of keys that start with prefix after the given store
+	// revision. It waits up to wait for the first one.
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Events, error)
 }
--- a/internal/storer/store.go
+++ b/internal/storer/store.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// MaxValueSize is the largest value the store holds, in bytes.
+// MaxValueSize is the maximum size of a value in the store, in bytes.
 const MaxValueSize = 1 << 20
 
-// Entry is one key of the store. Revision 0 means that the key does not exist.
+// Entry is one key and its value in the store. Revision 0 means that the key does not exist.
 type Entry struct {
 	Key      string
 	Value    []byte
@@ -22,7 +22,7 @@
 type Events struct {
 	Events        []Entry
 	StoreRevision uint64
-	Compacted     bool // events after the requested revision were dropped: list again
+	Compacted     bool // the store no longer has all events after the requested revision: list again
 }
 
 // HostState is a host's state in the platform's list.
@@ -42,33 +42,35 @@
 	State         HostState
 }
 
-// HostList is the platform's lagging list of hosts.
+// HostList is the platform's list of hosts. It may be out of date.
 type HostList struct {
 	Hosts []Host
-	Age   time.Duration // how old the list is
+	Age   time.Duration // time since the list was current
 }
 
 // Store is the platform's key-value store and host list. Each call counts against the
-// store's rates. Errors are *UnavailableError, *UnknownOutcomeError, *RateLimitedError
-// and *TooLargeError.
+// store's rate limits. Errors are of type *UnavailableError, *UnknownOutcomeError,
+// *RateLimitedError or *TooLargeError.
 type Store interface {
 	// Get returns an entry with Revision 0 if the key does not exist.
 	Get(ctx context.Context, key string) (Entry, error)
 	// List returns the entries whose keys start with prefix, and the store's revision.
 	List(ctx context.Context, prefix string) ([]Entry, uint64, error)
 	// CompareAndSwap writes value if the key's revision is expect (0: the key must not
-	// exist). It reports whether it wrote, and the key's new or current revision.
+	// exist). It reports whether the value was written, and the
+	// key's current revision.
 	CompareAndSwap(ctx context.Context, key string, expect uint64, value []byte) (bool, uint64, error)
 	// Delete removes the key if its revision is expect.
 	Delete(ctx context.Context, key string, expect uint64) (bool, error)
-	// Watch waits for changes under prefix after the given store revision.
+	// Watch returns the changes of keys that start with prefix after the given store
+	// revision. It waits up to wait for the first one.
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (Events, error)
 	// Hosts returns the platform's list of hosts.
 	Hosts(ctx context.Context) (HostList, error)
 }
 
-// UnavailableError says that the call did not take effect because the store refused
-// it or could not be reached before the request was sent.
+// UnavailableError reports that the call did not take effect: the store refused it, or could
+// not be reached before the request was sent, or the answer to a read was lost.
 type UnavailableError struct {
 	Address netip.AddrPort
 	Reason  string
@@ -78,8 +80,8 @@
 	return fmt.Sprintf("store %s is unavailable: %s", e.Address, e.Reason)
 }
 
-// UnknownOutcomeError says that a write was sent and its answer was lost: it may have
-// taken effect.
+// UnknownOutcomeError reports that a write was sent and that its answer was lost or not
+// usable: the write may have taken effect.
 type UnknownOutcomeError struct {
 	Key    string
 	Reason string
@@ -89,8 +91,8 @@
 	return fmt.Sprintf("outcome of the write to %q is unknown: %s", e.Key, e.Reason)
 }
 
-// RateLimitedError says that the store refused the call because of its rates. The
-// call did not take effect.
+// RateLimitedError reports that the store refused the call because a rate limit was
+// exceeded. The call did not take effect.
 type RateLimitedError struct {
 	RetryAfter time.Duration
 }
@@ -99,7 +101,7 @@
 	return fmt.Sprintf("store refused the call over its rate, retry after %s", e.RetryAfter)
 }
 
-// TooLargeError says that a value is over MaxValueSize.
+// TooLargeError reports that a value is larger than MaxValueSize.
 type TooLargeError struct {
 	Key  string
 	Size int // bytes
