--- a/internal/logger/logger.go
+++ b/internal/logger/logger.go
@@ -1,7 +1,7 @@
-// Package logger writes log lines without blocking the process. Lines are collected in
-// a bounded buffer and written by one goroutine; when the buffer is full, because the
-// reader of standard output is slow or lines come in a burst, lines are dropped and
-// counted.
+// Package logger writes log lines without blocking the callers. Lines are collected in a
+// bounded buffer and written by one goroutine. If the buffer is full, because the reader of
+// standard output is slow or many lines are logged at once, lines are dropped, and their
+// number is logged.
 package logger
 
 import (
@@ -15,31 +15,32 @@
 )
 
 const (
-	// flushEvery bounds the age of a line when it is written, and the number of system
-	// calls for logging.
-	flushEvery = 100 * time.Millisecond
-	// maxWrite bounds one write. The platform's collector keeps the first 8 kB of each
-	// write and cuts the rest off.
-	maxWrite = 8 << 10 // bytes
-	// DefaultBuffer holds about 5,000 lines, several seconds of the busiest host.
-	DefaultBuffer = 1 << 20 // bytes
+	// flushInterval bounds how long a line waits in the buffer, and the rate of write calls.
+	flushInterval = 100 * time.Millisecond
+	// maxWriteBytes bounds one write, except for a single longer line: the platform's log
+	// collector keeps only the first 8 kB of each write.
+	maxWriteBytes = 8 << 10
+	// DefaultBufferBytes is the size of about 5,000 lines, which the busiest host writes in
+	// several seconds.
+	DefaultBufferBytes = 1 << 20
 )
 
-// buffer is the writer behind the log handler.
+// buffer is the writer of the log handler. It keeps lines until they are flushed.
 type buffer struct {
-	out   io.Writer
-	limit int
+	out        io.Writer
+	limitBytes int
 
 	mu      sync.Mutex // guards the fields below
-	pending []byte
-	dropped int
+	pending []byte     // lines that are not yet written
+	dropped int        // number of lines dropped since the last flush
 }
 
-// Write implements io.Writer. It takes the line or drops it.
+// Write implements io.Writer. It appends the line to the buffer, or drops it if the buffer
+// is full.
 func (b *buffer) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.pending)+len(line) > b.limit {
+	if len(b.pending)+len(line) > b.limitBytes {
 		b.dropped++
 	} else {
 		b.pending = append(b.pending, line...)
@@ -47,53 +48,55 @@
 	return len(line), nil
 }
 
-// flush writes what is pending. Only one goroutine calls it.
-func (b *buffer) flush(spare []byte) []byte {
+// flush writes the pending lines to out. The memory of reuse becomes the new buffer; the
+// result is the memory of the old one, for the next call. Only one goroutine calls it.
+func (b *buffer) flush(reuse []byte) []byte {
 	b.mu.Lock()
 	lines, dropped := b.pending, b.dropped
-	b.pending, b.dropped = spare[:0], 0
+	b.pending, b.dropped = reuse[:0], 0
 	b.mu.Unlock()
 	if dropped > 0 {
 		lines = fmt.Appendf(lines, "time=%s level=WARN msg=LogDropped Lines=%d\n", time.Now().Format(time.RFC3339Nano), dropped)
 	}
 	for rest := lines; len(rest) > 0; {
-		n := chunk(rest)
-		_, _ = b.out.Write(rest[:n]) // there is nowhere to report that the log can not be written
+		n := nextWriteLength(rest)
+		_, _ = b.out.Write(rest[:n]) // an error of the log's own output cannot be logged
 		rest = rest[n:]
 	}
 	return lines
 }
 
-// chunk returns the length of the whole lines at the start that one write takes.
-func chunk(lines []byte) int {
-	if len(lines) <= maxWrite {
+// nextWriteLength returns the number of bytes for the next write: as many complete lines as
+// maxWriteBytes allows, but at least one.
+func nextWriteLength(lines []byte) int {
+	if len(lines) <= maxWriteBytes {
 		return len(lines)
 	}
-	if n := bytes.LastIndexByte(lines[:maxWrite], '\n') + 1; n > 0 {
+	if n := bytes.LastIndexByte(lines[:maxWriteBytes], '\n') + 1; n > 0 {
 		return n
 	}
 	if n := bytes.IndexByte(lines, '\n') + 1; n > 0 {
-		return n // one line that is longer
+		return n // a single line longer than maxWriteBytes
 	}
 	return len(lines)
 }
 
-// New returns a logger of key=value lines that writes to out, and a function that
-// writes the rest. limit is in bytes.
-func New(out io.Writer, limit int, level slog.Leveler) (*slog.Logger, func()) {
-	b := &buffer{out: out, limit: limit}
+// New returns a logger of key=value lines that writes to out, and a function that writes
+// the pending lines and stops the logger. The buffer holds up to bufferBytes.
+func New(out io.Writer, bufferBytes int, level slog.Leveler) (*slog.Logger, func()) {
+	b := &buffer{out: out, limitBytes: bufferBytes}
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(stopped)
-		t := time.NewTicker(flushEvery)
+		t := time.NewTicker(flushInterval)
 		defer t.Stop()
-		var spare []byte
+		var reuse []byte
 		for {
 			select {
 			case <-t.C:
-				spare = b.flush(spare)
+				reuse = b.flush(reuse)
 			case <-stop:
-				b.flush(spare)
+				b.flush(reuse)
 				return
 			}
 		}
@@ -102,13 +105,15 @@
 		close(stop)
 		select {
 		case <-stopped:
-		case <-time.After(closeWait):
+		case <-time.After(closeTimeout):
 		}
 	}
 }
 
-// closeWait bounds the last write: standard output may be blocked.
-const closeWait = 500 * time.Millisecond
+// closeTimeout bounds the last flush, because standard output may be blocked.
+const closeTimeout = 500 * time.Millisecond
 
-// Stdout returns a logger to standard output.
-func Stdout(level slog.Leveler) (*slog.Logger, func()) { return New(os.Stdout, DefaultBuffer, level) }
+// Stdout returns a logger that writes to standard output, and the function that stops it.
+func Stdout(level slog.Leveler) (*slog.Logger, func()) {
+	return New(os.Stdout, DefaultBufferBytes, level)
+}
