--- a/internal/explainer/breakdown.go
+++ b/internal/explainer/breakdown.go
@@ -13,112 +13,113 @@
 	"peridotpitch/internal/orchestrator"
 )
 
-// span is the life of one job, from when it was known to a leader to its final state.
-type span struct {
-	queue, outcome string
-	late           bool
-	added, ended   time.Time
-
-	// Parts of the time between: a moment counts as running if all begun and ready tasks
-	// run, as partly if some wait for a worker beside others that run, and as waiting if
-	// none runs. Ready tasks are known only once they have started, so that a moment
-	// counts as partly if a task starts later than it could have.
-	waiting, partly, running time.Duration
+// jobSummary summarizes one job, from its first JobAdded line to its final state.
+type jobSummary struct {
+	queue, outcome   string
+	late             bool
+	addedAt, endedAt time.Time
+
+	// The time from addedAt to endedAt is divided into time in which no task runs, in which
+	// some tasks run while others are ready and wait for a worker, and in which tasks run
+	// and none is known to wait. The log names a waiting task only when it starts, with the
+	// time that it has waited; a task that never starts is not counted as waiting.
+	noRunTime, partlyWaitingTime, allRunningTime time.Duration
 
 	runs, done, failed, stopped, lost int
-	ran                               time.Duration // of runs that ended well
-	wasted                            time.Duration // of other runs
+	usefulRunTime                     time.Duration // of runs that ended with outcome done
+	wastedRunTime                     time.Duration // of all other ended runs
 }
 
-func (s *span) String() string {
+func (s *jobSummary) String() string {
 	return fmt.Sprintf("%s after %s: no run %s, some tasks waiting %s, all running %s; %d runs: %d done, %d failed, %d stopped, %d lost",
-		s.outcome, s.ended.Sub(s.added).Round(time.Millisecond), s.waiting.Round(time.Millisecond), s.partly.Round(time.Millisecond),
-		s.running.Round(time.Millisecond), s.runs, s.done, s.failed, s.stopped, s.lost)
+		s.outcome, s.endedAt.Sub(s.addedAt).Round(time.Millisecond), s.noRunTime.Round(time.Millisecond), s.partlyWaitingTime.Round(time.Millisecond),
+		s.allRunningTime.Round(time.Millisecond), s.runs, s.done, s.failed, s.stopped, s.lost)
 }
 
-// interval is a stretch of a job's life in which a task ran, or waited for a worker.
+// interval is the time in which a task ran, or waited for a worker.
 type interval struct{ from, to time.Time }
 
-// history is what the lines tell of one job while they are read.
-type history struct {
-	span
-	begun map[string]time.Time // starts of runs that have not ended
-	ran   []interval
-	waits []interval
+// jobBuilder builds the summary of one job from its log lines.
+type jobBuilder struct {
+	jobSummary
+	openRuns      map[string]time.Time // start times of the runs that have not ended, by task and run
+	runIntervals  []interval
+	waitIntervals []interval
 }
 
-// spans returns the jobs that satisfy a condition and whose final state is in the log.
-func (g *Log) spans(wanted func(id string) bool) []*span {
-	all := make(map[string]*history)
+// summarizeJobs returns the summaries of the jobs whose IDs satisfy wanted, and whose
+// addition and final state are in the log.
+func (g *Log) summarizeJobs(wanted func(id string) bool) []*jobSummary {
+	builders := make(map[string]*jobBuilder)
 	var ids []string
 	for _, l := range g.Lines {
 		id := l.Value("Job")
 		if id == "" || !wanted(id) {
 			continue
 		}
-		h := all[id]
-		if h == nil {
+		b := builders[id]
+		if b == nil {
 			if l.Event != orchestrator.EventJobAdded {
 				continue
 			}
-			h = &history{begun: make(map[string]time.Time)}
-			h.added = l.At
-			all[id] = h
+			b = &jobBuilder{openRuns: make(map[string]time.Time)}
+			b.addedAt = l.Time
+			builders[id] = b
 			ids = append(ids, id)
 		}
-		h.take(l)
+		b.addLine(l)
 	}
-	var ss []*span
+	var summaries []*jobSummary
 	for _, id := range ids {
-		if h := all[id]; h.outcome != "" {
-			h.divide()
-			ss = append(ss, &h.span)
+		if b := builders[id]; b.outcome != "" {
+			b.splitTime()
+			summaries = append(summaries, &b.jobSummary)
 		}
 	}
-	return ss
+	return summaries
 }
 
-// take adds a line to the history.
-func (h *history) take(l Line) {
+// addLine updates the summary with a line about the job.
+func (b *jobBuilder) addLine(l Line) {
 	run := l.Value("Task") + "/" + l.Value("Run")
 	switch l.Event {
 	case orchestrator.EventJobAdded:
 		if queue := l.Value("Queue"); queue != "" {
-			h.queue = queue
+			b.queue = queue
 		}
 	case orchestrator.EventStart:
-		h.runs++
-		h.begun[run] = l.At
-		if waited, err := time.ParseDuration(input(l, "Waited")); err == nil {
-			h.waits = append(h.waits, interval{l.At.Add(-waited), l.At})
+		b.runs++
+		b.openRuns[run] = l.Time
+		if waited, err := time.ParseDuration(inputFigure(l, "Waited")); err == nil {
+			b.waitIntervals = append(b.waitIntervals, interval{l.Time.Add(-waited), l.Time})
 		}
 	case orchestrator.EventAdopt:
-		if _, known := h.begun[run]; !known {
-			h.runs++
-			h.begun[run] = l.At
+		if _, known := b.openRuns[run]; !known {
+			b.runs++
+			b.openRuns[run] = l.Time
 		}
 	case orchestrator.EventEnd, orchestrator.EventRunLost, orchestrator.EventStartRefused:
-		h.end(run, l)
+		b.endRun(run, l)
 	case orchestrator.EventJobFinished:
-		h.outcome, h.ended, h.late = l.Value("Outcome"), l.At, input(l, "Late") == "true"
+		b.outcome, b.endedAt, b.late = l.Value("Outcome"), l.Time, inputFigure(l, "Late") == "true"
 	}
 }
 
-func (h *history) end(run string, l Line) {
-	from, known := h.begun[run]
+func (b *jobBuilder) endRun(run string, l Line) {
+	from, known := b.openRuns[run]
 	if !known {
 		return
 	}
-	delete(h.begun, run)
-	h.span.end(l, l.At.Sub(from))
-	h.ran = append(h.ran, interval{from, l.At})
+	delete(b.openRuns, run)
+	b.jobSummary.countEnd(l, l.Time.Sub(from))
+	b.runIntervals = append(b.runIntervals, interval{from, l.Time})
 }
 
-func (s *span) end(l Line, took time.Duration) {
+func (s *jobSummary) countEnd(l Line, took time.Duration) {
 	switch {
 	case l.Event == orchestrator.EventEnd && l.Value("Outcome") == string(orchestrator.EndDone):
 		s.done++
-		s.ran += took
+		s.usefulRunTime += took
 		return
 	case l.Event == orchestrator.EventEnd && l.Value("Outcome") == string(orchestrator.EndFailed):
 		s.failed++
@@ -127,11 +128,12 @@
 	default:
 		s.lost++
 	}
-	s.wasted += took
+	s.wastedRunTime += took
 }
 
-// input returns one of the figures in a line's Inputs.
-func input(l Line, key string) string {
+// inputFigure returns the value of key in a line's Inputs, which are key=value pairs; empty
+// if there is none.
+func inputFigure(l Line, key string) string {
 	for _, word := range strings.Fields(l.Value("Inputs")) {
 		if k, v, ok := strings.Cut(word, "="); ok && k == key {
 			return v
@@ -140,99 +142,102 @@
 	return ""
 }
 
-// divide splits the job's life into its parts.
-func (h *history) divide() {
-	for run, from := range h.begun { // ended by the job's end, unseen
-		h.ran = append(h.ran, interval{from, h.ended})
-		delete(h.begun, run)
-	}
-	cuts := []time.Time{h.added, h.ended}
-	for _, i := range slices.Concat(h.ran, h.waits) {
-		cuts = append(cuts, i.from, i.to)
-	}
-	slices.SortFunc(cuts, time.Time.Compare)
-	for i := 1; i < len(cuts); i++ {
-		from, to := cuts[i-1], cuts[i]
-		if from.Before(h.added) || to.After(h.ended) {
+// splitTime divides the time from the job's addition to its end into noRunTime,
+// partlyWaitingTime and allRunningTime.
+func (b *jobBuilder) splitTime() {
+	for run, from := range b.openRuns { // no line of their end: they count as running until the job's end
+		b.runIntervals = append(b.runIntervals, interval{from, b.endedAt})
+		delete(b.openRuns, run)
+	}
+	boundaries := []time.Time{b.addedAt, b.endedAt}
+	for _, i := range slices.Concat(b.runIntervals, b.waitIntervals) {
+		boundaries = append(boundaries, i.from, i.to)
+	}
+	slices.SortFunc(boundaries, time.Time.Compare)
+	for i := 1; i < len(boundaries); i++ {
+		from, to := boundaries[i-1], boundaries[i]
+		if from.Before(b.addedAt) || to.After(b.endedAt) {
 			continue
 		}
 		switch {
-		case !covers(h.ran, from, to):
-			h.waiting += to.Sub(from)
-		case covers(h.waits, from, to):
-			h.partly += to.Sub(from)
+		case !anyCovers(b.runIntervals, from, to):
+			b.noRunTime += to.Sub(from)
+		case anyCovers(b.waitIntervals, from, to):
+			b.partlyWaitingTime += to.Sub(from)
 		default:
-			h.running += to.Sub(from)
+			b.allRunningTime += to.Sub(from)
 		}
 	}
 }
 
-func covers(is []interval, from, to time.Time) bool {
-	return slices.ContainsFunc(is, func(i interval) bool { return !i.from.After(from) && !i.to.Before(to) })
+// anyCovers reports whether one of the intervals contains all time between from and to.
+func anyCovers(intervals []interval, from, to time.Time) bool {
+	return slices.ContainsFunc(intervals, func(i interval) bool { return !i.from.After(from) && !i.to.Before(to) })
 }
 
-// Breakdown writes for each queue how its finished jobs fared and where their time went,
-// as means in seconds.
+// Breakdown writes a table with a row for each queue: its ended jobs by outcome, the mean
+// time of a job in seconds and its parts, its runs by outcome, and the share of run time
+// that was wasted.
 func (g *Log) Breakdown(w io.Writer) error {
-	queues := make(map[string][]*span)
-	for _, s := range g.spans(func(string) bool { return true }) {
+	queues := make(map[string][]*jobSummary)
+	for _, s := range g.summarizeJobs(func(string) bool { return true }) {
 		queues[s.queue] = append(queues[s.queue], s)
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	head := []string{"QUEUE", "JOBS", "TIMELY", "LATE", "FAILED", "CANCELLED", "TIME", "NO RUN", "PARTLY", "RUNNING", "RUNS", "DONE", "FAILED", "STOPPED", "LOST", "WASTED"}
-	if _, err := fmt.Fprintln(t, strings.Join(head, "\t")); err != nil {
+	header := []string{"QUEUE", "JOBS", "TIMELY", "LATE", "FAILED", "CANCELLED", "TIME", "NO RUN", "PARTLY", "RUNNING", "RUNS", "DONE", "FAILED", "STOPPED", "LOST", "WASTED"}
+	if _, err := fmt.Fprintln(t, strings.Join(header, "\t")); err != nil {
 		return err
 	}
 	for _, queue := range slices.Sorted(maps.Keys(queues)) {
-		if _, err := fmt.Fprintln(t, strings.Join(row(queue, queues[queue]), "\t")); err != nil {
+		if _, err := fmt.Fprintln(t, strings.Join(tableRow(queue, queues[queue]), "\t")); err != nil {
 			return err
 		}
 	}
 	return t.Flush()
 }
 
-func row(queue string, ss []*span) []string {
-	var timely, late, failed, cancelled int
-	var sum span
-	var life time.Duration
-	for _, s := range ss {
+func tableRow(queue string, summaries []*jobSummary) []string {
+	var onTime, late, failed, cancelled int
+	var sum jobSummary
+	var jobTime time.Duration // from addition to end
+	for _, s := range summaries {
 		switch orchestrator.State(s.outcome) {
 		case orchestrator.StateSucceeded:
 			if s.late {
 				late++
 			} else {
-				timely++
+				onTime++
 			}
 		case orchestrator.StateFailed:
 			failed++
 		case orchestrator.StateCancelled:
 			cancelled++
 		}
-		life += s.ended.Sub(s.added)
-		sum.waiting += s.waiting
-		sum.partly += s.partly
-		sum.running += s.running
+		jobTime += s.endedAt.Sub(s.addedAt)
+		sum.noRunTime += s.noRunTime
+		sum.partlyWaitingTime += s.partlyWaitingTime
+		sum.allRunningTime += s.allRunningTime
 		sum.runs += s.runs
 		sum.done += s.done
 		sum.failed += s.failed
 		sum.stopped += s.stopped
 		sum.lost += s.lost
-		sum.ran += s.ran
-		sum.wasted += s.wasted
+		sum.usefulRunTime += s.usefulRunTime
+		sum.wastedRunTime += s.wastedRunTime
 	}
-	n := len(ss)
+	n := len(summaries)
 	mean := func(d time.Duration) string { return fmt.Sprintf("%.2f", d.Seconds()/float64(n)) }
-	share := "-"
-	if total := sum.ran + sum.wasted; total > 0 {
-		share = fmt.Sprintf("%.0f%%", 100*sum.wasted.Seconds()/total.Seconds())
+	wasted := "-"
+	if runTime := sum.usefulRunTime + sum.wastedRunTime; runTime > 0 {
+		wasted = fmt.Sprintf("%.0f%%", 100*sum.wastedRunTime.Seconds()/runTime.Seconds())
 	}
 	cells := []string{queue}
-	for _, k := range []int{n, timely, late, failed, cancelled} {
+	for _, k := range []int{n, onTime, late, failed, cancelled} {
 		cells = append(cells, strconv.Itoa(k))
 	}
-	cells = append(cells, mean(life), mean(sum.waiting), mean(sum.partly), mean(sum.running))
+	cells = append(cells, mean(jobTime), mean(sum.noRunTime), mean(sum.partlyWaitingTime), mean(sum.allRunningTime))
 	for _, k := range []int{sum.runs, sum.done, sum.failed, sum.stopped, sum.lost} {
 		cells = append(cells, strconv.Itoa(k))
 	}
-	return append(cells, share)
+	return append(cells, wasted)
 }
--- a/internal/explainer/doc.go
+++ b/internal/explainer/doc.go
@@ -1,3 +1,4 @@
-// Package explainer answers from the log files of entry hosts what happened to a job and
-// where the time of a queue's jobs went. It needs no running host.
+// Package explainer reads the log files of entry hosts, and writes the lines about a job,
+// task or worker, how the jobs of a queue spent their time, and which hosts led when. It
+// needs no running host.
 package explainer
--- a/internal/explainer/explain.go
+++ b/internal/explainer/explain.go
@@ -10,62 +10,62 @@
 	"peridotpitch/internal/orchestrator"
 )
 
-// NotFoundError says that no line names a job or worker.
+// NotFoundError reports that no log line names a job, task or worker.
 type NotFoundError struct{ ID string }
 
 func (e *NotFoundError) Error() string {
 	return fmt.Sprintf("no line names %s: check the ID, and that the logs are of the host that the caller reached and of the leader", e.ID)
 }
 
-// about reports whether a line names a job, one of its tasks, or a worker.
-func about(l Line, id string) bool {
+// concerns reports whether a line names the job, task or worker id, or a task of the job.
+func concerns(l Line, id string) bool {
 	task := l.Value("Task")
 	return l.Value("Job") == id || l.Value("Worker") == id || task == id || strings.HasPrefix(task, id+".")
 }
 
-// hostEvents change what all jobs meet: who leads, which configuration is in force, and
-// whether the store answers.
-var hostEvents = []string{
+// clusterEvents affect all jobs: changes of the leader, of the configuration in effect and of
+// the store's availability, and gaps in the log.
+var clusterEvents = []string{
 	"ElectionWon", "Leading", "HandedOver", "StepAside", "StepDown", "LeadershipEnded",
 	"ConfigurationApplied", "StoreLost", "StoreRegained", "LogDropped",
 }
 
-// workerEvents change what is believed of a worker.
+// workerEvents change a worker's state, or the speed limit of best-effort tasks on it.
 var workerEvents = []string{
 	orchestrator.EventWorkerLost, orchestrator.EventWorkerReached, orchestrator.EventWorkerAvoided, orchestrator.EventPace,
 }
 
-// Explain writes the lines about a job, a task or a worker in the order of time. Marked
-// with "*" stand the lines of that time about the hosts, and about workers while a run of
-// the job was there.
+// Explain writes the lines about a job, a task or a worker in order of time, and a summary
+// of a job that has ended. It adds the lines between the first and the last of them with
+// cluster events, and with events of workers while the job has a run there, marked with "*".
 func (g *Log) Explain(w io.Writer, id string) error {
-	first := slices.IndexFunc(g.Lines, func(l Line) bool { return about(l, id) })
+	first := slices.IndexFunc(g.Lines, func(l Line) bool { return concerns(l, id) })
 	if first < 0 {
 		return &NotFoundError{ID: id}
 	}
 	last := first
 	for i, l := range g.Lines {
-		if about(l, id) {
+		if concerns(l, id) {
 			last = i
 		}
 	}
-	start := g.Lines[first].At
-	on := make(map[string]map[string]bool) // runs of the job by worker
+	start := g.Lines[first].Time
+	runsByWorker := make(map[string]map[string]bool)
 	for _, l := range g.Lines[first : last+1] {
 		mark := " "
 		switch {
-		case about(l, id):
-			follow(on, l)
-		case slices.Contains(hostEvents, l.Event), slices.Contains(workerEvents, l.Event) && len(on[l.Value("Worker")]) > 0:
+		case concerns(l, id):
+			trackRuns(runsByWorker, l)
+		case slices.Contains(clusterEvents, l.Event), slices.Contains(workerEvents, l.Event) && len(runsByWorker[l.Value("Worker")]) > 0:
 			mark = "*"
 		default:
 			continue
 		}
-		if _, err := fmt.Fprintf(w, "%9s %s %s\n", "+"+l.At.Sub(start).Round(time.Millisecond).String(), mark, l); err != nil {
+		if _, err := fmt.Fprintf(w, "%9s %s %s\n", "+"+l.Time.Sub(start).Round(time.Millisecond).String(), mark, l); err != nil {
 			return err
 		}
 	}
-	for _, s := range g.spans(func(job string) bool { return job == id }) {
+	for _, s := range g.summarizeJobs(func(job string) bool { return job == id }) {
 		if _, err := fmt.Fprintf(w, "%s\n", s); err != nil {
 			return err
 		}
@@ -73,19 +73,19 @@
 	return nil
 }
 
-// follow keeps account of the workers on which a job has runs.
-func follow(on map[string]map[string]bool, l Line) {
+// trackRuns updates the runs of a job on each worker by a line about the job.
+func trackRuns(runsByWorker map[string]map[string]bool, l Line) {
 	worker, run := l.Value("Worker"), l.Value("Task")+"/"+l.Value("Run")
 	if worker == "" {
 		return
 	}
 	switch l.Event {
 	case orchestrator.EventStart, orchestrator.EventAdopt, orchestrator.EventCopy:
-		if on[worker] == nil {
-			on[worker] = make(map[string]bool)
+		if runsByWorker[worker] == nil {
+			runsByWorker[worker] = make(map[string]bool)
 		}
-		on[worker][run] = true
+		runsByWorker[worker][run] = true
 	case orchestrator.EventEnd, orchestrator.EventRunLost, orchestrator.EventStartRefused:
-		delete(on[worker], run)
+		delete(runsByWorker[worker], run)
 	}
 }
--- a/internal/explainer/explainer_test.go
+++ b/internal/explainer/explainer_test.go
@@ -17,12 +17,13 @@
 
 var update = flag.Bool("update", false, "rewrite the expected output in testdata")
 
-// text is a log that stands in memory.
-func text(name, lines string) explainer.Source {
+// logOf returns a log with the given name and lines.
+func logOf(name, lines string) explainer.Source {
 	return explainer.Source{Name: name, Open: func() (io.ReadCloser, error) { return io.NopCloser(strings.NewReader(lines)), nil }}
 }
 
-func read(t *testing.T) *explainer.Log {
+// readTestLogs reads the logs in testdata.
+func readTestLogs(t *testing.T) *explainer.Log {
 	t.Helper()
 	var sources []explainer.Source
 	for _, name := range []string{"malolos-1.log", "collected.txt"} {
@@ -30,7 +31,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		sources = append(sources, text(strings.TrimSuffix(name, ".log"), string(lines)))
+		sources = append(sources, logOf(strings.TrimSuffix(name, ".log"), string(lines)))
 	}
 	g, err := explainer.Read(sources...)
 	if err != nil {
@@ -39,9 +40,9 @@
 	return g
 }
 
-// Guards against an account that leaves out lines of other hosts, of the workers that a
-// job's runs were on, or that shows those of workers that have nothing to do with it, and
-// against tables that attribute time to the wrong part or starts to the wrong leader.
+// Guards against an explanation that omits lines of other hosts or of workers with a run of
+// the job, or that contains lines of unrelated workers. Guards against tables that assign
+// time to the wrong column or starts to the wrong leader.
 func TestGolden(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -56,7 +57,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			var b bytes.Buffer
-			is.NoErr(c.write(read(t), &b))
+			is.NoErr(c.write(readTestLogs(t), &b))
 			path := filepath.Join("testdata", c.name)
 			if *update {
 				is.NoErr(os.WriteFile(path, b.Bytes(), 0o644))
@@ -68,30 +69,32 @@
 	}
 }
 
-// Guards against lines of other programs that end the reading or count as log lines.
+// Guards against lines of other programs that abort the reading or are taken for log lines of
+// an entry host.
 func TestOtherLinesAreSkipped(t *testing.T) {
 	is := is.New(t)
-	g := read(t)
+	g := readTestLogs(t)
 	is.Equal(g.Skipped, 2)
 	is.Equal(len(g.Lines), 25)
 	for i := 1; i < len(g.Lines); i++ {
-		is.True(!g.Lines[i].At.Before(g.Lines[i-1].At))
+		is.True(!g.Lines[i].Time.Before(g.Lines[i-1].Time))
 	}
 }
 
-// Guards against an empty account for an ID that no line names.
+// Guards against an ID that no line names and that gets an empty explanation instead of an
+// error.
 func TestUnknownID(t *testing.T) {
 	is := is.New(t)
-	err := read(t).Explain(&bytes.Buffer{}, "j")
+	err := readTestLogs(t).Explain(&bytes.Buffer{}, "j")
 	var unknown *explainer.NotFoundError
 	is.True(errors.As(err, &unknown))
 	is.Equal(unknown.ID, "j")
 }
 
-// Guards against a line without end that fills the memory.
-func TestEndlessLine(t *testing.T) {
+// Guards against a line without a line break that uses unbounded memory.
+func TestTooLongLineIsAnError(t *testing.T) {
 	is := is.New(t)
-	_, err := explainer.Read(text("a", "time="+strings.Repeat("x", 1<<20)))
+	_, err := explainer.Read(logOf("a", "time="+strings.Repeat("x", 1<<20)))
 	var failed *explainer.ReadError
 	is.True(errors.As(err, &failed))
 	is.Equal(failed.Source, "a")
--- a/internal/explainer/leaders.go
+++ b/internal/explainer/leaders.go
@@ -10,52 +10,53 @@
 	"peridotpitch/internal/orchestrator"
 )
 
-// leadership is the time from a host's election to the next one.
-type leadership struct {
+// leaderTerm is the time from the election of a leader to the next election.
+type leaderTerm struct {
 	host, epoch, reason string
-	elected             time.Time
-	idle                time.Duration // since the last start or end before the election
-	firstStart          time.Time     // zero: it has started nothing
+	electedAt           time.Time
+	idleBefore          time.Duration // time from the last start or end of a task before the election to the election
+	firstStartAt        time.Time     // zero if the leader has started no task
 }
 
-// leaderships returns who led, in the order of time.
-func (g *Log) leaderships() []*leadership {
-	var all []*leadership
-	var last time.Time // of a start or end
+// leaderTerms returns the terms in order of time.
+func (g *Log) leaderTerms() []*leaderTerm {
+	var all []*leaderTerm
+	var lastActivity time.Time // last start or end of a task
 	for _, l := range g.Lines {
 		switch l.Event {
 		case "ElectionWon":
-			n := &leadership{host: l.Source, epoch: l.Value("Epoch"), reason: l.Value("Reason"), elected: l.At}
-			if !last.IsZero() {
-				n.idle = l.At.Sub(last)
+			n := &leaderTerm{host: l.Source, epoch: l.Value("Epoch"), reason: l.Value("Reason"), electedAt: l.Time}
+			if !lastActivity.IsZero() {
+				n.idleBefore = l.Time.Sub(lastActivity)
 			}
 			all = append(all, n)
 		case orchestrator.EventStart, orchestrator.EventEnd:
 			if l.Value("Task") == "" {
-				continue // the start of a process
+				continue // start of an entry host
 			}
-			last = l.At
-			if n := len(all); n > 0 && l.Event == orchestrator.EventStart && all[n-1].host == l.Source && all[n-1].firstStart.IsZero() {
-				all[n-1].firstStart = l.At
+			lastActivity = l.Time
+			if n := len(all); n > 0 && l.Event == orchestrator.EventStart && all[n-1].host == l.Source && all[n-1].firstStartAt.IsZero() {
+				all[n-1].firstStartAt = l.Time
 			}
 		}
 	}
 	return all
 }
 
-// Leaders writes who led, why that changed, how long nothing had been started or ended
-// when a host was elected, and how long after its election it started a task.
+// Leaders writes a table with a row for each leader's term: when and why the host was
+// elected, how long before its election no task had started or ended, and how long after it
+// the host started its first task.
 func (g *Log) Leaders(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	if _, err := fmt.Fprintln(t, strings.Join([]string{"ELECTED", "LEADER", "EPOCH", "IDLE BEFORE", "FIRST START", "REASON"}, "\t")); err != nil {
 		return err
 	}
-	for _, n := range g.leaderships() {
+	for _, n := range g.leaderTerms() {
 		first := "-"
-		if !n.firstStart.IsZero() {
-			first = n.firstStart.Sub(n.elected).Round(time.Millisecond).String()
+		if !n.firstStartAt.IsZero() {
+			first = n.firstStartAt.Sub(n.electedAt).Round(time.Millisecond).String()
 		}
-		if _, err := fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\n", n.elected.Format("15:04:05.000"), n.host, n.epoch, n.idle.Round(time.Millisecond), first, n.reason); err != nil {
+		if _, err := fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\n", n.electedAt.Format("15:04:05.000"), n.host, n.epoch, n.idleBefore.Round(time.Millisecond), first, n.reason); err != nil {
 			return err
 		}
 	}
--- a/internal/explainer/read.go
+++ b/internal/explainer/read.go
@@ -13,10 +13,10 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// maxLine bounds one log line. The longest that entry hosts write are below 2 kB.
-const maxLine = 64 << 10 // bytes
+// maxLineBytes bounds one log line. The longest lines of entry hosts are below 2 kB.
+const maxLineBytes = 64 << 10
 
-// Keys of the fields that every line has.
+// Keys of fields that every line has.
 const (
 	keyTime  = "time"
 	keyEvent = "msg"
@@ -27,8 +27,8 @@
 
 // Line is one log line.
 type Line struct {
-	Source string // host or file that the line comes from
-	At     time.Time
+	Source string // host that wrote the line, or name of the log
+	Time   time.Time
 	Event  string
 	Fields []Field // without time, level and event
 }
@@ -43,30 +43,30 @@
 	return ""
 }
 
-// String returns the line as people read it.
+// String returns the line in the form shown to operators.
 func (l Line) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s %s %s", l.At.Format("15:04:05.000"), l.Source, l.Event)
+	fmt.Fprintf(&b, "%s %s %s", l.Time.Format("15:04:05.000"), l.Source, l.Event)
 	for _, f := range l.Fields {
-		fmt.Fprintf(&b, " %s=%s", f.Key, quoted(f.Value))
+		fmt.Fprintf(&b, " %s=%s", f.Key, quoteIfNeeded(f.Value))
 	}
 	return b.String()
 }
 
-func quoted(value string) string {
+func quoteIfNeeded(value string) string {
 	if value == "" || strings.ContainsAny(value, " =\"") {
 		return fmt.Sprintf("%q", value)
 	}
 	return value
 }
 
-// Log is what was read of the logs of all hosts, in the order of time.
+// Log holds the lines of the logs of all hosts, in order of time.
 type Log struct {
 	Lines   []Line
-	Skipped int // lines that are no log lines of an entry host
+	Skipped int // number of lines that are not log lines of an entry host
 }
 
-// ReadError says which log could not be read.
+// ReadError reports that a log could not be read.
 type ReadError struct {
 	Source string
 	Err    error
@@ -76,14 +76,14 @@
 
 func (e *ReadError) Unwrap() error { return e.Err }
 
-// Source is one log.
+// Source is a log to read.
 type Source struct {
 	Name string
 	Open func() (io.ReadCloser, error)
 }
 
-// Read reads the logs one after the other. A collector may have put text before each line;
-// its last word is taken as the line's source.
+// Read reads the logs and merges their lines in order of time. If there is text before a
+// line, such as a log collector's prefix, its last word becomes the line's Source.
 func Read(sources ...Source) (*Log, error) {
 	g := &Log{}
 	for _, s := range sources {
@@ -91,8 +91,8 @@
 			return nil, err
 		}
 	}
-	// Stable: lines of one host with the same time stay in the order of writing.
-	slices.SortStableFunc(g.Lines, func(a, b Line) int { return a.At.Compare(b.At) })
+	// The sort is stable, so that lines of one log with the same time keep their order.
+	slices.SortStableFunc(g.Lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	return g, nil
 }
 
@@ -103,9 +103,9 @@
 	}
 	defer func() { err = errors.Join(err, r.Close()) }()
 	sc := bufio.NewScanner(r)
-	sc.Buffer(nil, maxLine)
+	sc.Buffer(nil, maxLineBytes)
 	for sc.Scan() {
-		l, err := parse(s.Name, sc.Bytes())
+		l, err := parseLine(s.Name, sc.Bytes())
 		if err != nil {
 			g.Skipped++
 			continue
@@ -118,12 +118,13 @@
 	return nil
 }
 
-var errNoLogLine = errors.New("no log line of an entry host")
+var errNotLogLine = errors.New("not a log line of an entry host")
 
-func parse(source string, text []byte) (Line, error) {
+// parseLine parses one log line, with or without a prefix.
+func parseLine(source string, text []byte) (Line, error) {
 	start := bytes.Index(text, []byte(keyTime+"="))
 	if start < 0 {
-		return Line{}, errNoLogLine
+		return Line{}, errNotLogLine
 	}
 	l := Line{Source: source}
 	if words := bytes.Fields(text[:start]); len(words) > 0 {
@@ -139,7 +140,7 @@
 				if err != nil {
 					return Line{}, err
 				}
-				l.At = at
+				l.Time = at
 			case "level":
 			case keyEvent:
 				l.Event = value
@@ -151,8 +152,8 @@
 	if d.Err() != nil {
 		return Line{}, d.Err()
 	}
-	if l.At.IsZero() || l.Event == "" {
-		return Line{}, errNoLogLine
+	if l.Time.IsZero() || l.Event == "" {
+		return Line{}, errNotLogLine
 	}
 	return l, nil
 }
