--- a/internal/coordinator/metrics.go
+++ b/internal/coordinator/metrics.go
@@ -41,16 +41,16 @@
 	m := &metrics{
 		registry:        prometheus.NewRegistry(),
 		requestDuration: histogram("request_seconds", "Time to answer callers, by call, queue and outcome.", prometheus.ExponentialBuckets(0.002, 2, 12), "call", "queue", "outcome"),
-		commandDuration: histogram("order_seconds", "Time until workers answer commands.", prometheus.ExponentialBuckets(0.001, 2, 10), "order"),
+		commandDuration: histogram("order_seconds", "Time until workers answer orders.", prometheus.ExponentialBuckets(0.001, 2, 10), "order"),
 		jobDuration:     histogram("job_seconds", "Time from a job's submission to its final state, by queue and state.", prometheus.ExponentialBuckets(0.25, 2, 12), "queue", "state"),
 		decisions:       prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "peridotpitch", Name: "decisions_total", Help: "Decisions, by event."}, []string{"event"}),
-		taskStarts:      counter("starts_total", "Start commands for tasks."),
-		polls:           counter("looks_total", "Polls that workers answered."),
+		taskStarts:      counter("starts_total", "Starts of tasks sent to workers."),
+		polls:           counter("looks_total", "Looks that workers answered."),
 		leaderWrites:    counter("leader_writes_total", "Writes of the leader to the store."),
 		electionsWon:    counter("elections_won_total", "Elections that this host won."),
-		storeFailures:   counter("store_failures_total", "Calls to the store that failed, were rate-limited or have an unknown outcome."),
+		storeFailures:   counter("store_failures_total", "Calls to the store without an answer or with a refusal."),
 		leading:         gauge("leading", "1 while this host leads."),
-		configVersion:   gauge("configuration_version", "Version of the configuration in effect."),
+		configVersion:   gauge("configuration_version", "Version of the configuration in force."),
 	}
 	m.registry.MustRegister(m.requestDuration, m.commandDuration, m.jobDuration, m.decisions, m.taskStarts, m.polls, m.leaderWrites, m.electionsWon, m.storeFailures, m.leading, m.configVersion)
 	return m
--- a/internal/dispatcher/forward.go
+++ b/internal/dispatcher/forward.go
@@ -31,7 +31,7 @@
 	}
 	a := messenger.ForwardAnswer{Request: m.Request}
 	if !d.registerForward(m.Request, q.Deadline) {
-		a.Outcome, a.Reason = OutcomeUnknown, "a request with this identity was already forwarded to this host"
+		a.Outcome, a.Reason = OutcomeUnknown, "a request with this identity was forwarded here before"
 		return a
 	}
 	switch o := d.serve(ctx, &requestState{request: q, hops: 1}).(type) {
--- a/internal/dispatcher/request.go
+++ b/internal/dispatcher/request.go
@@ -55,7 +55,7 @@
 		d.record(r, DecisionRefuse, v.Error(), "identity", "unknown", nil)
 		return receiver.Unknown{Reason: v.Error()}
 	default:
-		reason := "canceled or past its deadline while waiting for a slot: " + context.Cause(ctx).Error()
+		reason := "given up while waiting for a slot: " + context.Cause(ctx).Error()
 		d.record(r, DecisionRefuse, reason, "deadline", "not-run", nil)
 		return receiver.NotRun{Reason: reason}
 	}
@@ -134,7 +134,7 @@
 
 // errDuplicate refuses a request while another one with the same ID waits. The other one
 // may run, so the outcome is unknown.
-var errDuplicate = errors.New("another request with the same identity is waiting for a slot")
+var errDuplicate = errors.New("a request with the same identity is waiting")
 
 // admit queues the request and returns its admission result, errDuplicate, or nil if the
 // request was canceled or its deadline passed.
@@ -348,7 +348,7 @@
 		return o
 	case forwarder.NotRun:
 		if mayHaveRun {
-			return receiver.Unknown{Reason: "an earlier attempt may have run; last attempt: " + r.Reason}
+			return receiver.Unknown{Reason: "an earlier attempt may have run; the last one: " + r.Reason}
 		}
 		return receiver.NotRun{Reason: r.Reason}
 	default:
--- a/internal/placer/mitigation.go
+++ b/internal/placer/mitigation.go
@@ -300,7 +300,7 @@
 	if overdue >= 0 && p.mitigation.belowActionLimit(w.Residents[overdue].Name, now) {
 		r := &w.Residents[overdue]
 		p.mitigation.recordAction(w.Name, r.Name, now)
-		return Stop{Worker: w.Name, Task: r.Name, Service: service.Name, Rule: RuleStop, Cause: "checkpoint did not complete in time; " + cause, Candidates: candidates}
+		return Stop{Worker: w.Name, Task: r.Name, Service: service.Name, Rule: RuleStop, Cause: "checkpoint did not complete; " + cause, Candidates: candidates}
 	}
 	return nil
 }
@@ -417,5 +417,5 @@
 	r := &w.Residents[best]
 	p.mitigation.recordAction(w.Name, r.Name, now).checkpointed = now
 	p.mitigation.moves[r.Name] = move{w.Name, now.Add(moveBackDelay)}
-	return Checkpoint{Worker: w.Name, Task: r.Name, Rule: RuleOverCapacity, Cause: fmt.Sprintf("tasks use %d of %d bytes of memory", used, w.Capacity.Memory)}
+	return Checkpoint{Worker: w.Name, Task: r.Name, Rule: RuleOverCapacity, Cause: fmt.Sprintf("measured memory %d of %d bytes", used, w.Capacity.Memory)}
 }
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -146,10 +146,10 @@
 func (p *Placer) checkFeasible(t Task, ws []Worker) Decision {
 	d := t.Declared
 	if !(d.Cores > 0) || d.Memory < 0 || d.Accelerators < 0 {
-		return Never{Rule: RuleInvalid, Reason: fmt.Sprintf("declared size of task %s is invalid: cores %g, memory %d bytes, accelerators %d", t.Name, d.Cores, d.Memory, d.Accelerators), Nearest: smallestSize}
+		return Never{Rule: RuleInvalid, Reason: fmt.Sprintf("declared size of %s is not valid: cores %g, memory %d bytes, accelerators %d", t.Name, d.Cores, d.Memory, d.Accelerators), Nearest: smallestSize}
 	}
 	if quota, ok := p.policy.Quotas[t.Team]; ok && t.Kind == KindBatch && !d.Fits(quota) {
-		return Never{Rule: RuleQuota, Reason: fmt.Sprintf("declared size exceeds the quota of team %s", t.Team), Nearest: p.nearest(t, ws, minResources(d, quota))}
+		return Never{Rule: RuleQuota, Reason: fmt.Sprintf("declared size exceeds the whole quota of team %s", t.Team), Nearest: p.nearest(t, ws, minResources(d, quota))}
 	}
 	if len(ws) == 0 && len(p.policy.Fleet) == 0 {
 		return Wait{Rule: RuleNoWorker, Reason: "no worker is known"}
@@ -222,5 +222,5 @@
 	if used.Add(t.Declared).Fits(quota) {
 		return nil
 	}
-	return Wait{Rule: RuleQuota, Reason: fmt.Sprintf("task would exceed the quota of team %s, whose batch tasks hold cores %g, memory %d bytes, accelerators %d", t.Team, used.Cores, used.Memory, used.Accelerators)}
+	return Wait{Rule: RuleQuota, Reason: fmt.Sprintf("team %s holds cores %g, memory %d bytes, accelerators %d of its quota", t.Team, used.Cores, used.Memory, used.Accelerators)}
 }
--- a/internal/placer/preempt.go
+++ b/internal/placer/preempt.go
@@ -108,7 +108,7 @@
 	excluded := ""
 	if r := s.reservation; r != nil {
 		if r.pending(ws, now) {
-			return Wait{Rule: RuleVictimsStopping, Reason: fmt.Sprintf("waiting for preempted tasks on worker %s to stop", r.worker)}
+			return Wait{Rule: RuleVictimsStopping, Reason: fmt.Sprintf("victims on worker %s have not ended yet", r.worker)}
 		}
 		// Either the victims have ended and other tasks on the worker grew into the freed
 		// capacity, or the worker did not stop its tasks in time.
@@ -145,7 +145,7 @@
 	}
 	p.reservations = append(p.reservations, reservation{t.Name, w.Name, s.sizeOn(best.worker), now, names})
 	if len(best.victims) == 0 {
-		return Wait{Rule: RuleVictimsStopping, Reason: fmt.Sprintf("tasks on worker %s are already stopping", w.Name)}
+		return Wait{Rule: RuleVictimsStopping, Reason: fmt.Sprintf("tasks on worker %s are stopping already", w.Name)}
 	}
 	d := Preempt{Worker: w.Name, Victims: names, Rule: RuleCheapestVictims}
 	for _, c := range plans {
--- a/internal/placer/search.go
+++ b/internal/placer/search.go
@@ -22,12 +22,12 @@
 
 var rejectTexts = [rejectReasonCount]string{
 	rejectLeaving:    "leaving",
-	rejectEpoch:      "without the owner's epoch",
+	rejectEpoch:      "not fenced",
 	rejectQuarantine: "quarantined",
 	rejectStale:      "without a recent report",
-	rejectMoved:      "excluded after a recent move of the task",
-	rejectCapacity:   "without enough free capacity",
-	rejectHeadroom:   "kept free for urgent tasks",
+	rejectMoved:      "relieved of this task recently",
+	rejectCapacity:   "without room",
+	rejectHeadroom:   "kept free for urgent work",
 }
 
 // Terms of the score, which is in units of slowdown. The costs per member of the task's spread group
--- a/internal/scheduler/journal.go
+++ b/internal/scheduler/journal.go
@@ -91,7 +91,7 @@
 		return reject("version %d, this program reads version %d", j.Version, JournalVersion)
 	}
 	if j.Shard != shard {
-		return reject("value belongs to shard %q", j.Shard)
+		return reject("it is the journal of shard %q", j.Shard)
 	}
 	seen := make(map[string]bool, len(j.Jobs))
 	for _, b := range j.Jobs {
@@ -106,7 +106,7 @@
 	tasks := make(map[string]bool, len(j.Instances))
 	for _, i := range j.Instances {
 		if i.Task == "" || i.Service == "" || i.Attempt < 0 || tasks[i.Task] {
-			return reject("instance %q: empty name or service, negative attempt, or listed twice", i.Task)
+			return reject("instance %q is not valid", i.Task)
 		}
 		tasks[i.Task] = true
 	}
@@ -126,9 +126,9 @@
 	}
 	switch {
 	case b.Spec.Name == "":
-		return "empty name"
+		return "no name"
 	case b.Attempt < 0 || b.Evictions < 0 || b.Failures < 0:
-		return "negative number of attempts, evictions or failures"
+		return "negative count"
 	}
 	return ""
 }
--- a/internal/scheduler/placing.go
+++ b/internal/scheduler/placing.go
@@ -202,7 +202,7 @@
 func (s *Shard) assign(t *task, d placer.Assign, vs []placer.Worker, now time.Time) {
 	i := slices.IndexFunc(vs, func(v placer.Worker) bool { return v.Name == d.Worker })
 	if i < 0 || !s.hasFreeCapacity(t, &vs[i]) {
-		s.postpone(t, recorder.KindWait, "CapacityGuard", "the worker chosen by the placer lacks free capacity", nil, now)
+		s.postpone(t, recorder.KindWait, "CapacityGuard", "the chosen worker has no room", nil, now)
 		return
 	}
 	w := s.workers[d.Worker]
@@ -273,7 +273,7 @@
 			}
 		}
 	}
-	s.postpone(t, recorder.KindPreempt, string(d.Rule), "evictions in progress on "+d.Worker, d.Candidates, now)
+	s.postpone(t, recorder.KindPreempt, string(d.Rule), "room is being made on "+d.Worker, d.Candidates, now)
 }
 
 // evict starts the eviction of a batch task: its worker is told to checkpoint and stop it.
--- a/internal/scheduler/shard.go
+++ b/internal/scheduler/shard.go
@@ -235,7 +235,7 @@
 func (s *Shard) handleJournalLost(e JournalLost) {
 	s.phase = phaseLost
 	for _, a := range s.pendingAnswers {
-		s.emit(AnswerSubmission{Request: a.request, Unknown: true, Reason: "this host no longer owns the shard; current owner: " + e.Owner})
+		s.emit(AnswerSubmission{Request: a.request, Unknown: true, Reason: "shard is now owned by " + e.Owner})
 	}
 	s.pendingAnswers = nil
 	s.emit(PublishEndpoints{})
--- a/internal/scheduler/work.go
+++ b/internal/scheduler/work.go
@@ -219,7 +219,7 @@
 			}
 		}
 		if t != nil && s.finishedBeforeRestart(t, tr) {
-			s.finish(t, JobFinished, "finished on "+w.name+" before the next attempt was started", now)
+			s.finish(t, JobFinished, "finished on "+w.name+" while it was silent", now)
 		}
 		key := attemptKey(tr)
 		o := w.unassigned[key]
@@ -327,7 +327,7 @@
 		s.removeInstance(t)
 	default:
 		s.recordDecision(Record{ID: t.Spec.Name, Kind: recorder.KindRetry, Rule: "NotOnWorker", Worker: w.name, Cause: "worker does not list the task"}, now)
-		s.requeue(t, "worker "+w.name+" no longer lists the task", now)
+		s.requeue(t, "worker "+w.name+" lost the task", now)
 	}
 }
 
@@ -368,7 +368,7 @@
 		limit = c.MaxAttempts
 	}
 	if t.Failures >= limit {
-		s.finish(t, JobFailed, "limit of failed runs reached, last failure: "+reason, now)
+		s.finish(t, JobFailed, "failed too often, last reason: "+reason, now)
 		return
 	}
 	s.recordDecision(Record{ID: t.Spec.Name, Kind: recorder.KindRetry, Rule: "RunFailed", Worker: t.Worker, Cause: reason}, now)
@@ -441,7 +441,7 @@
 				s.expireInstance(w, t, now)
 			case s.leaseEnded(w, t, now):
 				s.recordDecision(Record{ID: name, Kind: recorder.KindRetry, Rule: "LeaseEnded", Worker: w.name, Cause: "worker is unresponsive"}, now)
-				s.requeue(t, "worker "+w.name+" is unresponsive", now)
+				s.requeue(t, "worker "+w.name+" is silent", now)
 			}
 		}
 		if w.removed && len(w.tasks) == 0 {
--- a/internal/scheduler/writing.go
+++ b/internal/scheduler/writing.go
@@ -108,7 +108,7 @@
 	s.durableVersion = s.lastWrite.version
 	s.storeUnavailable, s.writeRetryAt = false, time.Time{}
 	if s.lastWrite.releasesShard {
-		s.handleJournalLost(JournalLost{Owner: "none, the shard was released"})
+		s.handleJournalLost(JournalLost{Owner: "nobody"})
 		return
 	}
 	s.pendingAnswers = slices.DeleteFunc(s.pendingAnswers, func(a pendingAnswer) bool {
@@ -165,7 +165,7 @@
 	case s.storeUnavailable:
 		return "not accepted, retry later: the store is unavailable"
 	case !now.Before(s.placingUntil):
-		return "not accepted, retry later: the ownership lease has ended"
+		return "not accepted, retry later: ownership is not certain"
 	}
 	return ""
 }
@@ -204,9 +204,9 @@
 	const maxNameBytes = 200 // the size of the journal is limited
 	switch {
 	case j.Name == "" || len(j.Name) > maxNameBytes:
-		return fmt.Sprintf("a job's name must have 1 to %d bytes", maxNameBytes)
+		return fmt.Sprintf("a job's name has 1 to %d bytes", maxNameBytes)
 	case s.tasks[j.Name] != nil:
-		return fmt.Sprintf("name %q is in use by a service instance", j.Name)
+		return fmt.Sprintf("name %q is that of a service instance", j.Name)
 	case s.jobClass(j.Class) == nil:
 		return fmt.Sprintf("job class %q is not configured", j.Class)
 	case s.journal.Moved[j.Name] != "":
@@ -230,7 +230,7 @@
 func (s *Shard) handleCancellation(e CancellationAsked, now time.Time) {
 	st, ok := s.Job(e.Name)
 	if !ok {
-		s.emit(AnswerSubmission{Request: e.Request, Reason: fmt.Sprintf("job %q not found", e.Name)})
+		s.emit(AnswerSubmission{Request: e.Request, Reason: fmt.Sprintf("job %q is not known", e.Name)})
 		return
 	}
 	t := s.tasks[e.Name]
