--- a/internal/server/doc.go
+++ b/internal/server/doc.go
@@ -1,7 +1,8 @@
-// Package server assembles one entry host: the transports, the decisions and the
-// loops between them. Run returns when the host has shut down.
+// Package server assembles one entry host: it creates the components, connects them to
+// their listeners and runs the background loops. Run returns when the host has shut down.
 //
-// Lock order: peerTable.mu, endpointTable.mu and granter.mu are leaves; none is held
-// during I/O, while another one is taken, or while a component is called that has a
-// lock of its own, except that granter.mu is held during the pure router.Allocator.
+// Lock order: peerTable.mu, endpointTable.mu and granter.mu are leaf locks. None of them
+// is held during I/O, while another lock is taken, or while a component with its own
+// lock is called. granter.mu is held during calls to router.Allocator, which has no lock
+// and does no I/O.
 package server
--- a/internal/server/endpoints.go
+++ b/internal/server/endpoints.go
@@ -11,45 +11,49 @@
 )
 
 const (
-	// endpointRetention is how long a shard's last known instances stay in use when no
-	// owner reports any: long enough for a takeover (about 4 s) and the fencing of all
-	// workers. An instance that is gone refuses connections, which is harmless.
+	// endpointRetention is how long the last reported instances of a shard stay in use
+	// while no owner reports any. It covers a takeover (about 4 s) and the time until all
+	// workers have accepted the new owner's epoch. Keeping an instance that no longer
+	// exists is harmless: it refuses connections.
 	endpointRetention = 60 * time.Second
-	// freeValidity is how long a peer's free slots are believed: three heartbeats.
-	freeValidity = 3 * farInterval
+	// freeSlotsValidity is how long a peer's report of its free slots is used: three
+	// heartbeats.
+	freeSlotsValidity = 3 * remoteHeartbeatInterval
 )
 
+// shardEndpoints are the instances in the last report of a shard's owner.
 type shardEndpoints struct {
-	endpoints []messenger.Endpoint
-	reported  time.Time
+	endpoints  []messenger.Endpoint
+	reportedAt time.Time
 }
 
-type freeSlots struct {
-	slots map[string]int
-	at    time.Time
+// freeSlotReport is the number of free slots by service that a peer reported.
+type freeSlotReport struct {
+	slots      map[string]int
+	reportedAt time.Time
 }
 
-// endpointTable holds the instances of this failure domain as their shards' owners
-// report them, which host claims which shard, and the free slots of peers.
+// endpointTable holds the instances of this failure domain as the shards' owners report
+// them, the host that claims each shard, and the free slots that peers report.
 type endpointTable struct {
-	mu     sync.Mutex
-	shards map[string]shardEndpoints
-	claims map[string]string // host by shard
-	slots  map[string]freeSlots
+	mu         sync.Mutex
+	shards     map[string]shardEndpoints
+	claims     map[string]string // host by shard
+	freeByHost map[string]freeSlotReport
 }
 
 func newEndpointTable() *endpointTable {
 	return &endpointTable{
-		shards: make(map[string]shardEndpoints),
-		claims: make(map[string]string),
-		slots:  make(map[string]freeSlots),
+		shards:     make(map[string]shardEndpoints),
+		claims:     make(map[string]string),
+		freeByHost: make(map[string]freeSlotReport),
 	}
 }
 
-// set takes in all instances that one owner reports. A shard without a report keeps
-// its last instances for endpointRetention: the owner may have died, or the new one
-// may not have fenced the workers yet.
-func (t *endpointTable) set(es []messenger.Endpoint, now time.Time) {
+// setEndpoints records all instances that one owner reports. A shard without a report
+// keeps its last instances for endpointRetention, because its owner may have crashed, or
+// the workers may not have accepted the new owner's epoch yet.
+func (t *endpointTable) setEndpoints(es []messenger.Endpoint, now time.Time) {
 	byShard := make(map[string][]messenger.Endpoint)
 	for _, e := range es {
 		byShard[e.Shard] = append(byShard[e.Shard], e)
@@ -57,16 +61,16 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, list := range byShard {
-		t.shards[name] = shardEndpoints{endpoints: list, reported: now}
+		t.shards[name] = shardEndpoints{endpoints: list, reportedAt: now}
 	}
 	for name, s := range t.shards {
-		if now.Sub(s.reported) > endpointRetention {
+		if now.Sub(s.reportedAt) > endpointRetention {
 			delete(t.shards, name)
 		}
 	}
 }
 
-// all returns the known instances sorted by name.
+// all returns the instances of all shards sorted by name.
 func (t *endpointTable) all() []messenger.Endpoint {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -78,6 +82,7 @@
 	return es
 }
 
+// setClaims records the shards that a host claims in a heartbeat.
 func (t *endpointTable) setClaims(host string, cs []messenger.ShardClaim) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -93,17 +98,20 @@
 	return t.claims[shard]
 }
 
-func (t *endpointTable) setFree(host string, slots map[string]int, now time.Time) {
+// setFreeSlots records the free slots by service that a host reported at now.
+func (t *endpointTable) setFreeSlots(host string, slots map[string]int, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.slots[host] = freeSlots{slots: slots, at: now}
+	t.freeByHost[host] = freeSlotReport{slots: slots, reportedAt: now}
 }
 
-func (t *endpointTable) free(host, service string, now time.Time) int {
+// freeSlots returns the host's free slots for the service, or 0 if its last report is
+// older than freeSlotsValidity.
+func (t *endpointTable) freeSlots(host, service string, now time.Time) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	f := t.slots[host]
-	if now.Sub(f.at) > freeValidity {
+	f := t.freeByHost[host]
+	if now.Sub(f.reportedAt) > freeSlotsValidity {
 		return 0
 	}
 	return f.slots[service]
--- a/internal/server/granter.go
+++ b/internal/server/granter.go
@@ -9,13 +9,14 @@
 	"peridotpitch/internal/router"
 )
 
+// shardAllocator grants the pool slots of one shard during one epoch of this host.
 type shardAllocator struct {
-	allocator *router.Allocator
-	epoch     uint64
-	until     time.Time // end of the placing tenure
+	allocator    *router.Allocator
+	epoch        uint64
+	placingUntil time.Time // end of the lease for placing tasks
 }
 
-// granter lends the pool slots of the shards that this host owns.
+// granter grants the pool slots of the shards that this host owns.
 type granter struct {
 	self   string
 	mu     sync.Mutex
@@ -26,8 +27,9 @@
 	return &granter{self: self, shards: make(map[string]*shardAllocator)}
 }
 
-// update follows which shards this host owns and which instances they have.
-func (g *granter) update(shards []proprietor.ShardStatus, es []messenger.Endpoint, hosts []string, settled bool, maxTimeout time.Duration, now time.Time) {
+// update replaces the set of shards that this host owns, their instances and the entry
+// hosts of the failure domain. settled has the meaning of router.Membership.Settled.
+func (g *granter) update(shards []proprietor.ShardStatus, es []messenger.Endpoint, hosts []string, settled bool, maxRequestTimeout time.Duration, now time.Time) {
 	byShard := make(map[string][]messenger.Endpoint)
 	for _, e := range es {
 		byShard[e.Shard] = append(byShard[e.Shard], e)
@@ -42,10 +44,10 @@
 		owned[s.Shard] = true
 		a := g.shards[s.Shard]
 		if a == nil || a.epoch != s.Epoch {
-			a = &shardAllocator{allocator: router.NewAllocator(s.Epoch, maxTimeout, now), epoch: s.Epoch}
+			a = &shardAllocator{allocator: router.NewAllocator(s.Epoch, maxRequestTimeout, now), epoch: s.Epoch}
 			g.shards[s.Shard] = a
 		}
-		a.until = s.Placing
+		a.placingUntil = s.Placing
 		a.allocator.Update(byShard[s.Shard], hosts, settled, now)
 	}
 	for name := range g.shards {
@@ -55,19 +57,19 @@
 	}
 }
 
-// step takes a host's report and returns its grants from all owned shards. A grant
-// never outlives the placing tenure of its shard.
-func (g *granter) step(r router.Report, now time.Time) []messenger.SlotGrant {
+// handleReport processes the slot demand of an entry host and returns its grants from
+// all owned shards. A grant ends no later than the shard's lease for placing tasks.
+func (g *granter) handleReport(r router.Report, now time.Time) []messenger.SlotGrant {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var grants []messenger.SlotGrant
 	for _, a := range g.shards {
-		left := a.until.Sub(now)
-		if left <= 0 {
+		remaining := a.placingUntil.Sub(now)
+		if remaining <= 0 {
 			continue
 		}
 		for _, s := range a.allocator.Step(r, now) {
-			s.For = min(s.For, left)
+			s.For = min(s.For, remaining)
 			grants = append(grants, s)
 		}
 	}
--- a/internal/server/heartbeat.go
+++ b/internal/server/heartbeat.go
@@ -10,7 +10,7 @@
 	"peridotpitch/internal/router"
 )
 
-// identity is what this host says about itself in a heartbeat or its answer to a peer.
+// identity returns this host's identity and state for a heartbeat, or the answer to one.
 func (h *host) identity(peer string) messenger.Identity {
 	digest, notices := h.members.Exchange(peer)
 	id := messenger.Identity{
@@ -19,19 +19,20 @@
 	}
 	if a := h.configuration.Load(); a != nil {
 		id.Generation = a.record.Generation
-		id.InEffectFor = time.Since(a.since)
+		id.InEffectFor = time.Since(a.adoptedAt)
 	}
 	return id
 }
 
-// heartbeat exchanges one heartbeat with a peer.
-func (h *host) heartbeat(ctx context.Context, l *link) {
-	near := l.domain == h.settings.FailureDomain
-	m := messenger.Heartbeat{Identity: h.identity(l.name), Sequence: h.sequence.Add(1), Claims: h.owner.Claims()}
-	if near {
+// sendHeartbeat sends one heartbeat to a peer and processes the answer.
+func (h *host) sendHeartbeat(ctx context.Context, l *link) {
+	sameDomain := l.domain == h.settings.FailureDomain
+	m := messenger.Heartbeat{Identity: h.identity(l.name), Sequence: h.heartbeatSequence.Add(1), Claims: h.owner.Claims()}
+	if sameDomain {
 		m.Demand = h.dispatcher.Demand(l.name)
 	}
-	// The promises and grants in the answer count from before the heartbeat was sent.
+	// The durations of the promises and grants in the answer count from this time, which
+	// is earlier than the time at which the peer gave them.
 	sentAt := time.Now()
 	a, err := l.client.Exchange(ctx, m)
 	if err != nil {
@@ -39,30 +40,34 @@
 		return
 	}
 	now := time.Now()
-	h.heard(a.Identity, now)
+	h.recordIdentity(a.Identity, now)
 	h.owner.Answered(sentAt, a)
-	h.endpoints.setFree(l.name, a.Free, now)
-	if near {
+	h.endpoints.setFreeSlots(l.name, a.Free, now)
+	if sameDomain {
 		if a.HoldFor > 0 {
-			h.hold(now.Add(a.HoldFor))
+			h.suspendSlots(now.Add(a.HoldFor))
 		}
-		h.endpoints.set(a.Endpoints, now)
+		h.endpoints.setEndpoints(a.Endpoints, now)
 		h.dispatcher.Granted(l.name, a.Grants, sentAt)
 	}
 }
 
-// leftBehindMargin covers what a process did after its last heartbeat before it died,
-// and the way of the deadline to the backend server.
-const leftBehindMargin = 2 * time.Second
+// crashedProcessMargin is added to the maximum request timeout to get the time for which
+// requests of a crashed process may still run. It covers requests that the process sent
+// after its last heartbeat, and the time that a request and its deadline take to reach
+// the backend server.
+const crashedProcessMargin = 2 * time.Second
 
-// hold keeps this host from using slots until the given time.
-func (h *host) hold(until time.Time) {
-	if until.UnixNano() > h.holdUntil.Load() {
-		h.holdUntil.Store(until.UnixNano())
+// suspendSlots prevents this host from using slots until the given time. It never ends an
+// earlier suspension sooner.
+func (h *host) suspendSlots(until time.Time) {
+	if until.UnixNano() > h.slotsSuspendedUntil.Load() {
+		h.slotsSuspendedUntil.Store(until.UnixNano())
 		h.dispatcher.Hold(until)
 	}
 }
 
+// maxRequestTimeout returns the limit in the configuration in effect, or the default.
 func (h *host) maxRequestTimeout() time.Duration {
 	if a := h.configuration.Load(); a != nil {
 		return a.parsed.Policy.MaxRequestTimeout
@@ -70,33 +75,34 @@
 	return configurator.DefaultMaxRequestTimeout
 }
 
-// heard takes in what a peer says about itself.
-func (h *host) heard(id messenger.Identity, now time.Time) {
+// recordIdentity records the identity, notices and configuration generation in a peer's
+// heartbeat or answer.
+func (h *host) recordIdentity(id messenger.Identity, now time.Time) {
 	for _, name := range h.members.Heard(id, now) {
 		h.log.Info("host is leaving", "Leaving", name, "Source", "heartbeat", "Peer", id.Host)
 	}
 	h.follower.Seen(id.Host, id.Generation)
 }
 
-// exchange answers a peer's heartbeat.
-func (h *host) exchange(m messenger.Heartbeat) messenger.HeartbeatAnswer {
+// handleHeartbeat records a peer's heartbeat and returns the answer.
+func (h *host) handleHeartbeat(m messenger.Heartbeat) messenger.HeartbeatAnswer {
 	now := time.Now()
-	h.heard(m.Identity, now)
+	h.recordIdentity(m.Identity, now)
 	h.endpoints.setClaims(m.Host, m.Claims)
 	a := messenger.HeartbeatAnswer{Identity: h.identity(m.Host), Promises: h.owner.Promise(m)}
 	if m.FailureDomain == h.settings.FailureDomain {
-		a.HoldFor = h.members.LeftBehind(m.Host, h.maxRequestTimeout()+leftBehindMargin, now)
+		a.HoldFor = h.members.LeftBehind(m.Host, h.maxRequestTimeout()+crashedProcessMargin, now)
 		a.Endpoints = h.owner.Endpoints()
-		a.Grants = h.grants.step(router.Report{Host: m.Host, Incarnation: m.Incarnation, Sequence: m.Sequence, RunningFor: m.RunningFor, Demand: m.Demand}, now)
+		a.Grants = h.grants.handleReport(router.Report{Host: m.Host, Incarnation: m.Incarnation, Sequence: m.Sequence, RunningFor: m.RunningFor, Demand: m.Demand}, now)
 	} else if len(h.notReady()) == 0 {
 		a.Free = h.dispatcher.Free()
 	}
 	return a
 }
 
-// Target implements dispatcher.Overflow: of two random entry hosts of other failure
-// domains that have free slots it names the one with more, so that hosts with the same
-// figures do not all choose the same target.
+// Target implements dispatcher.Overflow. It draws two random entry hosts of other failure
+// domains that have free slots, and returns the one with more. The random draw prevents
+// hosts with the same figures from all choosing the same target.
 func (h *host) Target(service string) (string, bool) {
 	now := time.Now()
 	var names []string
@@ -105,7 +111,7 @@
 		if l.domain == h.settings.FailureDomain || !h.members.Alive(l.name, now) || h.members.Leaving(l.name) {
 			continue
 		}
-		if n := h.endpoints.free(l.name, service, now); n > 0 {
+		if n := h.endpoints.freeSlots(l.name, service, now); n > 0 {
 			names = append(names, l.name)
 			free = append(free, n)
 		}
--- a/internal/server/jobs.go
+++ b/internal/server/jobs.go
@@ -13,19 +13,21 @@
 	"peridotpitch/internal/scheduler"
 )
 
-// unknownHostError says that no entry host of that name is known.
+// unknownHostError reports that there is no link to an entry host of this name.
 type unknownHostError struct{ Host string }
 
 func (e *unknownHostError) Error() string { return fmt.Sprintf("entry host %q is not known", e.Host) }
 
+// notSent reports whether err means that no part of the message left this host.
 func notSent(err error) bool {
 	var e *messenger.NotSentError
 	var u *unknownHostError
 	return errors.As(err, &e) || errors.As(err, &u)
 }
 
-// shardOwner returns the host that most likely owns the shard: this host, else the one
-// that claimed it in its last heartbeat, else the one in the journal.
+// shardOwner returns the host that most likely owns the shard: this host if it is the
+// owner, else the host that claimed the shard in its last heartbeat, else the owner in
+// the journal.
 func (h *host) shardOwner(shard string) string {
 	owner := h.owner.Owner(shard)
 	if owner == h.settings.Name {
@@ -34,9 +36,10 @@
 	return cmp.Or(h.endpoints.claimant(shard), owner)
 }
 
-// atOwner calls local if this host owns the job's shard, else remote with the owner's
-// link. It follows one redirection, because the known owner may be out of date.
-func (h *host) atOwner(job string, local func() (messenger.JobAnswer, error), remote func(*link) (messenger.JobAnswer, error)) (messenger.JobAnswer, error) {
+// callOwner calls local if this host owns the job's shard, otherwise remote with the
+// owner's link. If local fails because the shard has another owner, it calls that owner
+// once.
+func (h *host) callOwner(job string, local func() (messenger.JobAnswer, error), remote func(*link) (messenger.JobAnswer, error)) (messenger.JobAnswer, error) {
 	shard := h.owner.HomeShard(job)
 	if shard == "" {
 		return messenger.JobAnswer{}, &administrator.Error{Code: administrator.CodeUnavailable, Message: "no configuration is in effect"}
@@ -44,11 +47,11 @@
 	owner := h.shardOwner(shard)
 	if owner == h.settings.Name {
 		a, err := local()
-		var moved *proprietor.NotOwnerError
-		if !errors.As(err, &moved) {
+		var notOwner *proprietor.NotOwnerError
+		if !errors.As(err, &notOwner) {
 			return a, err
 		}
-		owner = moved.Owner
+		owner = notOwner.Owner
 	}
 	l, ok := h.peers.get(owner)
 	if !ok {
@@ -68,46 +71,46 @@
 }
 
 func (h *host) submit(ctx context.Context, spec scheduler.JobSpec) (messenger.JobAnswer, error) {
-	return h.atOwner(spec.Name,
+	return h.callOwner(spec.Name,
 		func() (messenger.JobAnswer, error) { return h.owner.Submit(ctx, spec) },
 		func(l *link) (messenger.JobAnswer, error) { return l.client.SubmitJob(ctx, spec) })
 }
 
 func (h *host) cancel(ctx context.Context, name string) (messenger.JobAnswer, error) {
-	return h.atOwner(name,
+	return h.callOwner(name,
 		func() (messenger.JobAnswer, error) { return h.owner.Cancel(ctx, name) },
 		func(l *link) (messenger.JobAnswer, error) { return l.client.CancelJob(ctx, name) })
 }
 
-// peerHandler serves the messages of other entry hosts.
+// peerHandler handles messages from other entry hosts.
 type peerHandler struct{ h *host }
 
 var _ messenger.Handler = peerHandler{}
 
 func (p peerHandler) Exchange(_ context.Context, m messenger.Heartbeat) (messenger.HeartbeatAnswer, error) {
-	return p.h.exchange(m), nil
+	return p.h.handleHeartbeat(m), nil
 }
 
 func (p peerHandler) Forward(ctx context.Context, m messenger.ForwardRequest) (messenger.ForwardAnswer, error) {
 	return p.h.dispatcher.Forwarded(ctx, m), nil
 }
 
-// jobAnswer turns a change of owner into a refusal: the asking host looks the owner up
-// again on the next try.
-func jobAnswer(a messenger.JobAnswer, err error) (messenger.JobAnswer, error) {
-	var moved *proprietor.NotOwnerError
-	if errors.As(err, &moved) {
-		return messenger.JobAnswer{Reason: moved.Error()}, nil
+// refuseNotOwner converts a NotOwnerError to a refusal. The calling host determines the
+// owner again when the request is repeated.
+func refuseNotOwner(a messenger.JobAnswer, err error) (messenger.JobAnswer, error) {
+	var notOwner *proprietor.NotOwnerError
+	if errors.As(err, &notOwner) {
+		return messenger.JobAnswer{Reason: notOwner.Error()}, nil
 	}
 	return a, err
 }
 
 func (p peerHandler) SubmitJob(ctx context.Context, m scheduler.JobSpec) (messenger.JobAnswer, error) {
-	return jobAnswer(p.h.owner.Submit(ctx, m))
+	return refuseNotOwner(p.h.owner.Submit(ctx, m))
 }
 
 func (p peerHandler) CancelJob(ctx context.Context, name string) (messenger.JobAnswer, error) {
-	return jobAnswer(p.h.owner.Cancel(ctx, name))
+	return refuseNotOwner(p.h.owner.Cancel(ctx, name))
 }
 
 func (p peerHandler) ListJobs(_ context.Context, m messenger.ListRequest) ([]scheduler.JobStatus, error) {
@@ -115,7 +118,7 @@
 }
 
 func (p peerHandler) Explain(_ context.Context, id string) (messenger.ExplainAnswer, error) {
-	return p.h.explainHere(id), nil
+	return p.h.explainLocal(id), nil
 }
 
 func (p peerHandler) Drain(_ context.Context, host string, undo bool) error {
--- a/internal/server/operators.go
+++ b/internal/server/operators.go
@@ -16,7 +16,7 @@
 	"peridotpitch/internal/scheduler"
 )
 
-// operatorBackend does what operators ask of this host.
+// operatorBackend handles operators' requests to this host.
 type operatorBackend struct{ h *host }
 
 var _ administrator.Backend = operatorBackend{}
@@ -35,11 +35,11 @@
 		return administrator.ConfigurationView{}, &administrator.Error{Code: administrator.CodeNotFound, Message: errNoConfiguration.Error()}
 	}
 	now := time.Now()
-	v := administrator.ConfigurationView{Host: b.h.settings.Name, Record: a.record, InEffectFor: now.Sub(a.since)}
+	v := administrator.ConfigurationView{Host: b.h.settings.Name, Record: a.record, InEffectFor: now.Sub(a.adoptedAt)}
 	v.Hosts = append(v.Hosts, administrator.HostGeneration{Host: v.Host, Generation: a.record.Generation, InEffectFor: v.InEffectFor})
 	for _, p := range b.h.members.Peers(now) {
-		ago := now.Sub(p.HeardAt)
-		v.Hosts = append(v.Hosts, administrator.HostGeneration{Host: p.Host, Generation: p.Generation, InEffectFor: p.InEffectFor + ago, HeardAgo: ago})
+		age := now.Sub(p.HeardAt)
+		v.Hosts = append(v.Hosts, administrator.HostGeneration{Host: p.Host, Generation: p.Generation, InEffectFor: p.InEffectFor + age, HeardAgo: age})
 	}
 	slices.SortFunc(v.Hosts, func(a, b administrator.HostGeneration) int { return cmp.Compare(a.Host, b.Host) })
 	return v, nil
@@ -49,7 +49,8 @@
 	return b.h.publisher.History(ctx, limit)
 }
 
-// jobStatus turns the answer to a submission or cancellation into what operators get.
+// jobStatus converts the owner's answer to a submission or cancellation to an operator's
+// result: a refusal becomes an error.
 func jobStatus(a messenger.JobAnswer, err error) (scheduler.JobStatus, error) {
 	if err == nil && !a.Accepted {
 		err = &administrator.Error{Code: administrator.CodeRefused, Message: a.Reason}
@@ -65,8 +66,7 @@
 	return jobStatus(b.h.cancel(ctx, name))
 }
 
-// gather calls each known entry host at the same time and collects the answers of
-// those that can be reached.
+// gather calls all live peers concurrently and returns the answers that arrive.
 func gather[T any](ctx context.Context, h *host, call func(context.Context, *link) (T, error)) []T {
 	links := h.peers.all()
 	answers := make([]*T, len(links))
@@ -94,6 +94,7 @@
 	return found
 }
 
+// jobs returns the matching jobs of this host and all live peers, sorted by name.
 func (b operatorBackend) jobs(ctx context.Context, m messenger.ListRequest) []scheduler.JobStatus {
 	js := b.h.owner.List(m)
 	for _, a := range gather(ctx, b.h, func(ctx context.Context, l *link) ([]scheduler.JobStatus, error) {
@@ -173,19 +174,19 @@
 		alive := e.Name == b.h.settings.Name || b.h.members.Alive(e.Name, now)
 		hs = append(hs, administrator.HostStatus{
 			Name: e.Name, Role: "entry", FailureDomain: e.FailureDomain,
-			State: b.state(e.Name, alive), Generation: peers[e.Name],
+			State: b.hostState(e.Name, alive), Generation: peers[e.Name],
 		})
 	}
 	for _, w := range a.parsed.Workers {
 		hs = append(hs, administrator.HostStatus{
 			Name: w.Name, Role: "worker", FailureDomain: w.FailureDomain, Rack: w.Rack, Shard: w.Shard,
-			State: b.state(w.Name, true), Capacity: w.Capacity,
+			State: b.hostState(w.Name, true), Capacity: w.Capacity,
 		})
 	}
 	return hs, nil
 }
 
-func (b operatorBackend) state(host string, alive bool) string {
+func (b operatorBackend) hostState(host string, alive bool) string {
 	switch {
 	case b.h.members.Leaving(host):
 		return "leaving"
@@ -196,11 +197,11 @@
 	}
 }
 
-// DrainHost marks the host here and tells every reachable entry host at once; the
-// others learn it from heartbeats.
+// DrainHost records the operator's notice and sends it to all live entry hosts. The
+// others receive it with later heartbeats.
 func (b operatorBackend) DrainHost(ctx context.Context, name string, undo bool) error {
 	a := b.h.configuration.Load()
-	if a == nil || !knownHost(a.parsed, name) {
+	if a == nil || !isConfiguredHost(a.parsed, name) {
 		return notFound("host", name)
 	}
 	b.h.members.Mark(name, messenger.SourceOperator, !undo)
@@ -211,16 +212,16 @@
 	return nil
 }
 
-func knownHost(c *configurator.Configuration, name string) bool {
+func isConfiguredHost(c *configurator.Configuration, name string) bool {
 	return slices.ContainsFunc(c.EntryHosts, func(e configurator.EntryHost) bool { return e.Name == name }) ||
 		slices.ContainsFunc(c.Workers, func(w configurator.Worker) bool { return w.Name == name })
 }
 
 func (b operatorBackend) Explain(ctx context.Context, id string) ([]messenger.ExplainAnswer, error) {
-	as := append([]messenger.ExplainAnswer{b.h.explainHere(id)},
+	as := append([]messenger.ExplainAnswer{b.h.explainLocal(id)},
 		gather(ctx, b.h, func(ctx context.Context, l *link) (messenger.ExplainAnswer, error) { return l.client.Explain(ctx, id) })...)
 	as = slices.DeleteFunc(as, func(a messenger.ExplainAnswer) bool { return len(a.Records) == 0 })
-	// The journal keeps a job's last decision when the host that made it is gone.
+	// The journal keeps a job's last decision after the host that made it has stopped.
 	if j, err := b.ShowJob(ctx, id); err == nil && j.Decision != "" {
 		as = append(as, messenger.ExplainAnswer{Host: "journal of shard " + j.Shard, Records: []string{
 			fmt.Sprintf("state=%s attempt=%d evictions=%d decision=%q", j.State, j.Attempt, j.Evictions, j.Decision),
@@ -241,7 +242,7 @@
 		StoreState: "available", Hosts: hosts,
 	}
 	if a := b.h.configuration.Load(); a != nil {
-		s.Generation, s.InEffectFor = a.record.Generation, time.Since(a.since)
+		s.Generation, s.InEffectFor = a.record.Generation, time.Since(a.adoptedAt)
 	}
 	if b.h.storeDown.Load() {
 		s.StoreState = "unavailable"
--- a/internal/server/path_test.go
+++ b/internal/server/path_test.go
@@ -14,11 +14,11 @@
 	"peridotpitch/internal/scheduler"
 )
 
-// Guards against pool slots that nobody uses: the owner of a shard grants them to itself
-// as well as to its peers, and must get beyond its base share when it is busy.
+// Guards against pool slots that stay unused: the owner of a shard grants slots to itself
+// as well as to its peers, so a busy owner must be able to exceed its base share.
 func TestBusyOwnerUsesGrantedSlots(t *testing.T) {
 	const baseShare = 3 // of 8 slots, with two entry hosts in the failure domain
-	r := newSlowRig(t, 100*time.Millisecond)
+	r := newClusterWithServiceTime(t, 100*time.Millisecond)
 	r.waitForInstances(2)
 	owner := r.hosts[0]
 	if owner.owner.Owner("North/1") != owner.settings.Name {
@@ -48,11 +48,11 @@
 	})
 }
 
-// Guards against a break anywhere between a caller and a backend server, or between a
-// submission and the end of the job.
-func TestRequestsAndJobsPassThroughTheWholeSystem(t *testing.T) {
+// Guards against faults between components: requests must reach a backend server exactly
+// once, submitted jobs must finish, and their decisions must be recorded.
+func TestRequestsAndJobsEndToEnd(t *testing.T) {
 	is := is.New(t)
-	r := newRig(t)
+	r := newCluster(t)
 	r.waitForInstances(2)
 	for i := range 40 {
 		h := r.hosts[i%len(r.hosts)]
--- a/internal/server/peers.go
+++ b/internal/server/peers.go
@@ -16,12 +16,14 @@
 )
 
 const (
-	// Intervals of heartbeats. Three missed ones of 500 ms make a host count as down.
-	nearInterval = 500 * time.Millisecond // inside the failure domain
-	farInterval  = time.Second            // to other failure domains
+	// localHeartbeatInterval applies inside the failure domain. A host counts as down after
+	// three missed heartbeats of this interval, see registrar.SilenceLimit.
+	localHeartbeatInterval = 500 * time.Millisecond
+	// remoteHeartbeatInterval applies to entry hosts of other failure domains.
+	remoteHeartbeatInterval = time.Second
 )
 
-// link is the connection to one other entry host.
+// link is the message client and heartbeat loop for one other entry host.
 type link struct {
 	name   string
 	domain string
@@ -30,26 +32,26 @@
 	stop   context.CancelFunc
 }
 
-// peerTable holds the links to all other entry hosts: those of the settings file and
-// those of the configuration. A host that both name has the configuration's address.
+// peerTable holds the links to all other entry hosts in the settings file and the
+// configuration. If both contain a host, the address in the configuration applies.
 type peerTable struct {
-	self     string
-	domain   string
-	settings []loader.Peer
-	timeout  time.Duration
-	log      *slog.Logger
-
-	mu        sync.Mutex
-	links     map[string]*link
-	addresses map[string]string
-	ctx       context.Context // of the heartbeat loops; nil before run
-	beat      func(ctx context.Context, l *link)
-	loops     sync.WaitGroup
+	self           string
+	domain         string
+	settings       []loader.Peer
+	messageTimeout time.Duration
+	log            *slog.Logger
+
+	mu            sync.Mutex
+	links         map[string]*link
+	addresses     map[string]string
+	ctx           context.Context // context of the heartbeat loops; nil before run
+	sendHeartbeat func(ctx context.Context, l *link)
+	loops         sync.WaitGroup
 }
 
 func newPeerTable(s loader.Settings, log *slog.Logger) *peerTable {
 	t := &peerTable{
-		self: s.Name, domain: s.FailureDomain, settings: s.Peers, timeout: s.Limits.MessageTimeout, log: log,
+		self: s.Name, domain: s.FailureDomain, settings: s.Peers, messageTimeout: s.Limits.MessageTimeout, log: log,
 		links: make(map[string]*link), addresses: make(map[string]string),
 	}
 	t.configure(nil)
@@ -80,8 +82,9 @@
 	}
 }
 
+// add creates a link, and starts its heartbeat loop if the loops run. t.mu must be held.
 func (t *peerTable) add(p loader.Peer) {
-	c, closeClient := messenger.NewClient(p.Address, messenger.Options{ExchangeTimeout: t.timeout, Rand: newRandom()})
+	c, closeClient := messenger.NewClient(p.Address, messenger.Options{ExchangeTimeout: t.messageTimeout, Rand: newRandom()})
 	l := &link{name: p.Name, domain: p.FailureDomain, client: c, close: closeClient}
 	t.links[p.Name] = l
 	t.addresses[p.Name] = p.Address.String()
@@ -90,19 +93,22 @@
 	}
 }
 
+// remove stops and closes a link. t.mu must be held.
 func (t *peerTable) remove(l *link) {
 	if l.stop != nil {
 		l.stop()
 	}
-	go l.close() // waits for calls in progress
+	go l.close() // blocks until calls in progress have ended
 	delete(t.links, l.name)
 	delete(t.addresses, l.name)
 }
 
+// start runs the heartbeat loop of a link. A random first delay spreads the heartbeats to
+// different peers. t.mu must be held.
 func (t *peerTable) start(l *link) {
-	interval := farInterval
+	interval := remoteHeartbeatInterval
 	if l.domain == t.domain {
-		interval = nearInterval
+		interval = localHeartbeatInterval
 	}
 	ctx, stop := context.WithCancel(t.ctx)
 	l.stop = stop
@@ -112,7 +118,7 @@
 		}
 		for {
 			started := time.Now()
-			t.beat(ctx, l)
+			t.sendHeartbeat(ctx, l)
 			if !sleep(ctx, max(0, interval-time.Since(started))) {
 				return
 			}
@@ -120,10 +126,10 @@
 	})
 }
 
-// run sends heartbeats until ctx ends.
-func (t *peerTable) run(ctx context.Context, beat func(context.Context, *link)) error {
+// run sends heartbeats to all peers until ctx ends.
+func (t *peerTable) run(ctx context.Context, sendHeartbeat func(context.Context, *link)) error {
 	t.mu.Lock()
-	t.ctx, t.beat = ctx, beat
+	t.ctx, t.sendHeartbeat = ctx, sendHeartbeat
 	for _, l := range t.links {
 		t.start(l)
 	}
@@ -160,6 +166,7 @@
 	return links
 }
 
+// configurationPeers returns the peers from which the configuration can be fetched.
 func (t *peerTable) configurationPeers() []publisher.Peer {
 	var ps []publisher.Peer
 	for _, l := range t.all() {
--- a/internal/server/records.go
+++ b/internal/server/records.go
@@ -10,8 +10,9 @@
 	"peridotpitch/internal/recorder"
 )
 
-// signedBy returns the generation in effect and the key that signed it.
-func (h *host) signedBy() (uint64, string) {
+// generationAndKey returns the generation of the configuration in effect and the name of
+// the key that signed it.
+func (h *host) generationAndKey() (uint64, string) {
 	a := h.configuration.Load()
 	if a == nil {
 		return 0, ""
@@ -19,17 +20,18 @@
 	return a.record.Generation, a.record.Key
 }
 
-// recordScheduling keeps the record of a decision about a job, task or worker.
+// recordScheduling stores the record of a decision about a job, task or worker.
 func (h *host) recordScheduling(r recorder.Record) {
-	r.Generation, r.SignedBy = h.signedBy()
+	r.Generation, r.SignedBy = h.generationAndKey()
 	h.records.Add(r)
 }
 
-// requestRecorder keeps the records of decisions about requests.
+// requestRecorder stores the records of decisions about requests. It implements
+// dispatcher.Recorder.
 type requestRecorder struct{ h *host }
 
 func (r requestRecorder) Record(d dispatcher.Decision) {
-	generation, key := r.h.signedBy()
+	generation, key := r.h.generationAndKey()
 	rec := recorder.Record{
 		Time: d.At, Kind: recorder.Kind(d.Kind), Request: d.Request, Subject: d.Service, Cause: d.Cause, Rule: d.Rule,
 		Outcome: d.Result, Generation: generation, SignedBy: key,
@@ -42,8 +44,9 @@
 	r.h.records.Add(rec)
 }
 
-// explainHere renders this host's records about an identity.
-func (h *host) explainHere(id string) messenger.ExplainAnswer {
+// explainLocal renders this host's decision records about a job, task, worker or request,
+// oldest first.
+func (h *host) explainLocal(id string) messenger.ExplainAnswer {
 	rs := h.records.Explain(id)
 	slices.SortStableFunc(rs, func(a, b recorder.Record) int { return cmp.Compare(a.Time.UnixNano(), b.Time.UnixNano()) })
 	a := messenger.ExplainAnswer{Host: h.settings.Name}
--- a/internal/server/rig_test.go
+++ b/internal/server/rig_test.go
@@ -24,12 +24,12 @@
 	"peridotpitch/internal/scheduler"
 )
 
-// eventLimit bounds the wait for an event. It is wide: tests judge what happens, not
-// how fast this machine is.
-const eventLimit = 60 * time.Second
+// eventTimeout limits the wait for an event. It is long because the tests check what
+// happens, not how fast the machine is.
+const eventTimeout = 60 * time.Second
 
-// rig is a system of entry hosts in this process on stand-ins.
-type rig struct {
+// cluster is a set of entry hosts in this process with an emulated platform and workers.
+type cluster struct {
 	t        *testing.T
 	platform *emulator.Platform
 	workers  []*emulator.Worker
@@ -39,7 +39,7 @@
 	ledger   *emulator.Ledger
 	executed *emulator.Executions
 
-	serviceTime time.Duration // of the instances; 0 is the stand-in's default
+	serviceTime time.Duration // mean service time of the instances; 0 is the emulator's default
 }
 
 type runningHost struct {
@@ -49,19 +49,19 @@
 	group    *errgroup.Group
 }
 
-var rigDomains = []string{"North", "South"}
+var clusterDomains = []string{"North", "South"}
 
-// newRig starts the stand-ins, two entry hosts in each of two failure domains and
-// applies a configuration with one service and one job class.
-func newRig(t *testing.T) *rig { return newSlowRig(t, 0) }
+// newCluster starts an emulated platform, and two workers and two entry hosts in each of
+// two failure domains. It applies a configuration with one service and one job class.
+func newCluster(t *testing.T) *cluster { return newClusterWithServiceTime(t, 0) }
 
-// newSlowRig is newRig with instances that take serviceTime for a request on average.
-func newSlowRig(t *testing.T, serviceTime time.Duration) *rig {
+// newClusterWithServiceTime is newCluster with the given mean service time of instances.
+func newClusterWithServiceTime(t *testing.T, serviceTime time.Duration) *cluster {
 	t.Helper()
 	is := is.New(t)
 	_, key, err := ed25519.GenerateKey(nil)
 	is.NoErr(err)
-	r := &rig{t: t, key: key, ledger: emulator.NewLedger(), executed: emulator.NewExecutions(), serviceTime: serviceTime}
+	r := &cluster{t: t, key: key, ledger: emulator.NewLedger(), executed: emulator.NewExecutions(), serviceTime: serviceTime}
 	platform, storeAddress, closePlatform, err := emulator.NewPlatform(emulator.PlatformOptions{})
 	is.NoErr(err)
 	t.Cleanup(closePlatform)
@@ -78,8 +78,8 @@
 		JobClasses: []configurator.JobClass{{Name: "die", Size: configurator.Resources{Cores: 1, Memory: 1e8}, MaxAttempts: 3}},
 		Teams:      []configurator.Team{{Name: "mill", Quota: configurator.Resources{Cores: 100, Memory: 1e12}, Share: 1}},
 	}
-	for i, d := range rigDomains {
-		c.FailureDomains = append(c.FailureDomains, configurator.FailureDomain{Name: d, Region: "R", Successor: rigDomains[1-i]})
+	for i, d := range clusterDomains {
+		c.FailureDomains = append(c.FailureDomains, configurator.FailureDomain{Name: d, Region: "R", Successor: clusterDomains[1-i]})
 		for j := range 2 {
 			r.addWorker(c, d, j)
 			r.addSettings(c, d, j, storeAddress)
@@ -97,7 +97,7 @@
 	return r
 }
 
-func (r *rig) addWorker(c *configurator.Configuration, domain string, i int) {
+func (r *cluster) addWorker(c *configurator.Configuration, domain string, i int) {
 	name := fmt.Sprintf("%s-worker-%d", domain, i)
 	capacity := configurator.Resources{Cores: 16, Memory: 60e9}
 	w, address, closeWorker, err := emulator.NewWorker(emulator.WorkerOptions{
@@ -111,7 +111,7 @@
 	c.Workers = append(c.Workers, configurator.Worker{Name: name, FailureDomain: domain, Rack: domain + "-rack", Shard: "1", Address: address, Capacity: capacity})
 }
 
-func (r *rig) addSettings(c *configurator.Configuration, domain string, i int, store netip.AddrPort) {
+func (r *cluster) addSettings(c *configurator.Configuration, domain string, i int, store netip.AddrPort) {
 	ports := harness.FreeAddresses(r.t, 3)
 	s := loader.Settings{
 		Name: fmt.Sprintf("%s-entry-%d", domain, i), FailureDomain: domain, StoreAddress: store,
@@ -123,7 +123,7 @@
 	c.EntryHosts = append(c.EntryHosts, configurator.EntryHost{Name: s.Name, FailureDomain: domain, Address: s.MessageAddress})
 }
 
-func (r *rig) start(s loader.Settings) *runningHost {
+func (r *cluster) start(s loader.Settings) *runningHost {
 	logs := io.Discard
 	if os.Getenv("SERVER_LOGS") != "" {
 		logs = os.Stderr
@@ -145,7 +145,7 @@
 	return x
 }
 
-func (r *rig) apply(c *configurator.Configuration) {
+func (r *cluster) apply(c *configurator.Configuration) {
 	text := configurator.Print(c)
 	s := publisher.Submission{Text: string(text), Signature: configurator.Sign(text, r.key), Key: "maria", Replaces: c.Replaces, AppliedBy: "maria"}
 	r.eventually("apply configuration", func() error {
@@ -154,10 +154,10 @@
 	})
 }
 
-// eventually waits until f succeeds.
-func (r *rig) eventually(what string, f func() error) {
+// eventually calls f until it succeeds, and fails the test after eventTimeout.
+func (r *cluster) eventually(what string, f func() error) {
 	r.t.Helper()
-	deadline := time.Now().Add(eventLimit)
+	deadline := time.Now().Add(eventTimeout)
 	for {
 		err := f()
 		if err == nil {
@@ -170,20 +170,20 @@
 	}
 }
 
-// waitForInstances waits until each host knows n instances.
-func (r *rig) waitForInstances(n int) {
+// waitForInstances waits until each entry host lists n instances.
+func (r *cluster) waitForInstances(n int) {
 	r.t.Helper()
 	for _, h := range r.hosts {
-		r.eventually("instances known to "+h.settings.Name, func() error {
+		r.eventually("instances on "+h.settings.Name, func() error {
 			if es := h.endpoints.all(); len(es) != n {
-				return fmt.Errorf("%d instances are known, want %d", len(es), n)
+				return fmt.Errorf("%d instances listed, want %d", len(es), n)
 			}
 			return nil
 		})
 	}
 }
 
-// answer is what a caller gets.
+// answer is the answer to a caller's request.
 type answer struct {
 	status  int
 	outcome string
@@ -191,7 +191,7 @@
 	body    []byte
 }
 
-func (r *rig) call(h *runningHost, token string) (answer, error) {
+func (r *cluster) call(h *runningHost, token string) (answer, error) {
 	q, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s/services/quotes/x?token=%s", h.settings.CallerAddress, token), http.NoBody)
 	if err != nil {
 		return answer{}, err
@@ -207,7 +207,7 @@
 	return answer{a.StatusCode, a.Header.Get("Peridot-Outcome"), a.Header.Get("Peridot-Reason"), body}, err
 }
 
-func (r *rig) submit(h *runningHost, name string, work time.Duration) {
+func (r *cluster) submit(h *runningHost, name string, work time.Duration) {
 	r.t.Helper()
 	r.eventually("submit "+name, func() error {
 		_, err := h.operator.SubmitJob(context.Background(), scheduler.JobSpec{Name: name, Class: "die", Team: "mill", Duration: work})
@@ -215,7 +215,7 @@
 	})
 }
 
-func (r *rig) waitForJob(h *runningHost, name string, state scheduler.JobState) scheduler.JobStatus {
+func (r *cluster) waitForJob(h *runningHost, name string, state scheduler.JobState) scheduler.JobStatus {
 	r.t.Helper()
 	var j scheduler.JobStatus
 	r.eventually("job "+name, func() error {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -38,21 +38,23 @@
 )
 
 const (
-	// hostListInterval is how often the platform's host list is read. Eight hosts use 4
-	// of the store's 2,000 reads a second, and a leaving host is seen within 2 s.
+	// hostListInterval is the mean interval between reads of the platform's host list. At
+	// 2 s, eight entry hosts use 4 of the store's 2,000 reads per second, and a leaving host
+	// is detected within about 2 s.
 	hostListInterval = 2 * time.Second
-	// refreshInterval is how often endpoints, grants and leaving hosts are passed on
-	// inside the process.
+	// refreshInterval is the interval at which the components of this process exchange
+	// endpoints, slot grants and leaving hosts.
 	refreshInterval = 250 * time.Millisecond
-	// balancerDelay is how long a leaving host goes on accepting requests, so that the
-	// balancer sees that it is not ready and stops sending.
+	// balancerDelay is how long a leaving host continues to accept requests, so that the
+	// load balancer's readiness check fails and it stops sending requests.
 	balancerDelay = 3 * time.Second
-	// releaseTimeout bounds the handover of shards. After twice the ownership TTL a
-	// successor claims them by itself.
+	// releaseTimeout limits the handover of shards. It needs no more than twice the ownership
+	// TTL, because a successor then claims the shards without a handover.
 	releaseTimeout = 2 * configurator.DefaultOwnershipTTL
-	// firstHold is how long a new process uses no slot, so that a peer can say whether an
-	// earlier process of this host left requests behind: two heartbeats and a dial.
-	firstHold = 2 * time.Second
+	// startupSuspension is how long a new process uses no slots. Within two heartbeats and a
+	// connection setup a peer reports whether requests of an earlier process of this host
+	// may still run.
+	startupSuspension = 2 * time.Second
 )
 
 // host is one running entry host.
@@ -76,24 +78,25 @@
 	endpoints  *endpointTable
 	grants     *granter
 
-	configuration atomic.Pointer[adopted]
-	leaving       atomic.Bool
-	drained       atomic.Bool
-	holdUntil     atomic.Int64 // Unix time in nanoseconds until which no slot is used
-	storeDown     atomic.Bool
-	requests      atomic.Uint64
-	sequence      atomic.Uint64
+	configuration       atomic.Pointer[activeConfiguration]
+	leaving             atomic.Bool
+	drained             atomic.Bool
+	slotsSuspendedUntil atomic.Int64 // Unix time in nanoseconds until which no slots are used
+	storeDown           atomic.Bool
+	requestCounter      atomic.Uint64
+	heartbeatSequence   atomic.Uint64
 }
 
-// adopted is the configuration in effect on this host.
-type adopted struct {
-	record configurator.Record
-	parsed *configurator.Configuration
-	since  time.Time
+// activeConfiguration is the configuration in effect on this host and the time at which
+// it took effect.
+type activeConfiguration struct {
+	record    configurator.Record
+	parsed    *configurator.Configuration
+	adoptedAt time.Time
 }
 
-// Run runs an entry host until ctx ends and then shuts it down gracefully. version is
-// what status shows.
+// Run runs an entry host until ctx ends and then shuts it down gracefully. The status
+// subcommand shows version.
 func Run(ctx context.Context, s loader.Settings, version string) error {
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: s.LogLevel})).With("Host", s.Name)
 	h, cleanup, err := newHost(s, version, log)
@@ -104,6 +107,8 @@
 	return h.run(ctx)
 }
 
+// newHost creates the components of an entry host without starting them. The returned
+// function closes them in reverse order.
 func newHost(s loader.Settings, version string, log *slog.Logger) (*host, func(), error) {
 	var closers []func()
 	cleanup := func() {
@@ -120,7 +125,7 @@
 
 	store, closeStore := storer.NewClient(s.StoreAddress, storer.Options{Timeout: s.Limits.StoreTimeout})
 	closers = append(closers, closeStore)
-	h.store = &storeProbe{Store: store, down: &h.storeDown}
+	h.store = &storeMonitor{Store: store, down: &h.storeDown}
 	workers, closeWorkers := commander.NewClient(commander.Options{})
 	closers = append(closers, closeWorkers)
 
@@ -158,7 +163,7 @@
 		Recorder: requestRecorder{h},
 	})
 	closers = append(closers, closeDispatcher)
-	h.hold(h.started.Add(firstHold))
+	h.suspendSlots(h.started.Add(startupSuspension))
 
 	h.follower = publisher.NewFollower(publisher.FollowerOptions{
 		Store: h.store, Keys: s.OperatorKeys, Peers: h.peers.configurationPeers,
@@ -169,13 +174,15 @@
 
 // adopt puts a configuration into effect.
 func (h *host) adopt(r configurator.Record, c *configurator.Configuration) {
-	h.configuration.Store(&adopted{record: r, parsed: c, since: time.Now()})
+	h.configuration.Store(&activeConfiguration{record: r, parsed: c, adoptedAt: time.Now()})
 	h.peers.configure(c.EntryHosts)
 	h.owner.Configure(c)
 	h.dispatcher.Configure(c)
 	h.refresh(time.Now())
 }
 
+// run starts the listeners and background loops, and shuts the host down when ctx ends or
+// one of them fails.
 func (h *host) run(ctx context.Context) error {
 	listeners, err := listen(ctx, h.settings)
 	if err != nil {
@@ -183,7 +190,7 @@
 	}
 	r, err := receiver.New(receiver.Settings{
 		Handler: h.dispatcher, Ready: h.notReady, Registry: h.registry, Logger: h.log,
-		Identity: h.requestIdentity, Services: h.serviceNames, Tenants: h.teamNames,
+		Identity: h.newRequestID, Services: h.serviceNames, Tenants: h.teamNames,
 		MaxRequestTimeout: configurator.DefaultMaxRequestTimeout,
 	})
 	if err != nil {
@@ -192,14 +199,14 @@
 	messages, closeMessages := messenger.NewServer(listeners.message, peerHandler{h}, h.log)
 	defer closeMessages()
 
-	// Background work goes on while the host drains and ends last.
+	// Background loops continue while the host drains, and end last.
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	operators := administrator.NewServer(background, operatorBackend{h})
 	g, background := errgroup.WithContext(background)
 	g.Go(func() error { return h.follower.Run(background) })
-	g.Go(func() error { return h.peers.run(background, h.heartbeat) })
-	g.Go(func() error { return h.readHostList(background) })
+	g.Go(func() error { return h.peers.run(background, h.sendHeartbeat) })
+	g.Go(func() error { return h.pollHostList(background) })
 	g.Go(func() error { return h.refreshLoop(background) })
 	g.Go(func() error { return r.Serve(listeners.caller) })
 	g.Go(func() error { return operators.Serve(listeners.operator) })
@@ -218,8 +225,8 @@
 	return err
 }
 
-// shutdown stops new work first, waits for the requests in flight and then gives up
-// the shards, so that successors need not wait for the tenure to end.
+// shutdown stops new requests, waits for those in flight and then releases the shards, so
+// that successors need not wait until the ownership leases expire.
 func (h *host) shutdown(ctx context.Context, r *receiver.Receiver, m *messenger.Server) error {
 	h.leaving.Store(true)
 	h.members.Mark(h.settings.Name, messenger.SourceHost, true)
@@ -231,14 +238,14 @@
 	if err != nil {
 		err = merry.Prependf(err, "requests were still in flight after %s", h.settings.Limits.DrainTimeout)
 	}
-	// A process that follows under the same name need not wait for requests of this one.
+	// If all requests have ended, the next process of this host may use its slots at once.
 	h.drained.Store(err == nil)
-	h.tellNeighbours(ctx)
+	h.notifyDomainPeers(ctx)
 	h.release(ctx)
 	return errors.Join(err, m.Shutdown(ctx))
 }
 
-// release hands the shards over in writing, unless the store does not answer.
+// release writes the handover of all owned shards to the store. Failure is only logged.
 func (h *host) release(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
@@ -247,17 +254,19 @@
 	}
 }
 
-// tellNeighbours sends a heartbeat to each peer of the failure domain at once.
-func (h *host) tellNeighbours(ctx context.Context) {
+// notifyDomainPeers sends a heartbeat to all peers of the failure domain concurrently, so
+// that they receive the new state immediately.
+func (h *host) notifyDomainPeers(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, l := range h.peers.all() {
 		if l.domain == h.settings.FailureDomain {
-			wg.Go(func() { h.heartbeat(ctx, l) })
+			wg.Go(func() { h.sendHeartbeat(ctx, l) })
 		}
 	}
 	wg.Wait()
 }
 
+// listeners are the listeners for callers, other entry hosts and operators.
 type listeners struct {
 	caller, message, operator net.Listener
 }
@@ -281,7 +290,7 @@
 	return l, nil
 }
 
-// notReady lists the reasons why this host takes no traffic.
+// notReady returns the reasons why this host accepts no traffic; none if it is ready.
 func (h *host) notReady() []string {
 	var reasons []string
 	if h.configuration.Load() == nil {
@@ -290,14 +299,15 @@
 	if h.leaving.Load() || h.members.Leaving(h.settings.Name) {
 		reasons = append(reasons, "the host is leaving")
 	}
-	if time.Now().UnixNano() < h.holdUntil.Load() {
+	if time.Now().UnixNano() < h.slotsSuspendedUntil.Load() {
 		reasons = append(reasons, "requests of an earlier process may still use the host's slots")
 	}
 	return reasons
 }
 
-func (h *host) requestIdentity() string {
-	return fmt.Sprintf("%s-%s-%d", h.settings.Name, h.incarnation, h.requests.Add(1))
+// newRequestID returns the identity of the next request, unique across hosts and restarts.
+func (h *host) newRequestID() string {
+	return fmt.Sprintf("%s-%s-%d", h.settings.Name, h.incarnation, h.requestCounter.Add(1))
 }
 
 func (h *host) serviceNames() []string {
@@ -324,8 +334,8 @@
 	return names
 }
 
-// readHostList follows the platform's list of hosts.
-func (h *host) readHostList(ctx context.Context) error {
+// pollHostList reads the platform's host list periodically until ctx ends.
+func (h *host) pollHostList(ctx context.Context) error {
 	for {
 		l, err := h.store.Hosts(ctx)
 		if err != nil {
@@ -334,14 +344,14 @@
 		for _, name := range h.members.PlatformList(l, time.Now()) {
 			h.log.Info("host is leaving", "Leaving", name, "Source", messenger.SourcePlatform)
 		}
-		// The jitter spreads the reads of hosts that started together.
+		// The jitter spreads the reads of entry hosts that started at the same time.
 		if !sleep(ctx, hostListInterval/2+rand.N(hostListInterval)) {
 			return nil
 		}
 	}
 }
 
-// refreshLoop passes on inside the process what heartbeats and the store brought.
+// refreshLoop calls refresh periodically until ctx ends.
 func (h *host) refreshLoop(ctx context.Context) error {
 	for sleep(ctx, refreshInterval) {
 		h.refresh(time.Now())
@@ -349,11 +359,13 @@
 	return nil
 }
 
+// refresh passes the current endpoints, slot grants and leaving hosts between the
+// components of this process.
 func (h *host) refresh(now time.Time) {
 	h.owner.SetLeaving(h.members.LeavingHosts())
 	shards := h.owner.Shards()
 	owned := h.owner.Endpoints()
-	h.endpoints.set(owned, now)
+	h.endpoints.setEndpoints(owned, now)
 	all := h.endpoints.all()
 	a := h.configuration.Load()
 	if a == nil {
@@ -363,12 +375,13 @@
 	settled := a.record.Generation == 1 || time.Since(a.record.AppliedAt) > router.ShareDelay(a.parsed.Policy.MaxRequestTimeout)
 	h.grants.update(shards, owned, hosts, settled, a.parsed.Policy.MaxRequestTimeout, now)
 	h.dispatcher.Update(all, router.Membership{Hosts: len(hosts), Settled: settled})
-	own := h.dispatcher.Demand(h.settings.Name)
-	now = time.Now() // a grant from before the demand counts as the answer to an older one
-	g := h.grants.step(router.Report{Host: h.settings.Name, Incarnation: h.incarnation, Sequence: h.sequence.Add(1), RunningFor: now.Sub(h.started), Demand: own}, now)
+	ownDemand := h.dispatcher.Demand(h.settings.Name)
+	now = time.Now() // the router ignores grants from before the demand: they answer an earlier report
+	g := h.grants.handleReport(router.Report{Host: h.settings.Name, Incarnation: h.incarnation, Sequence: h.heartbeatSequence.Add(1), RunningFor: now.Sub(h.started), Demand: ownDemand}, now)
 	h.dispatcher.Granted(h.settings.Name, g, now)
 }
 
+// entryHosts returns the names of the failure domain's entry hosts.
 func entryHosts(c *configurator.Configuration, domain string) []string {
 	var names []string
 	for _, e := range c.EntryHosts {
@@ -379,7 +392,7 @@
 	return names
 }
 
-// sleep waits for d and reports whether ctx is still alive.
+// sleep waits for d. It returns false if ctx ends before that.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -391,6 +404,7 @@
 	}
 }
 
+// newIncarnation returns a random identifier for this process.
 func newIncarnation() string {
 	var b [6]byte
 	_, _ = crand.Read(b[:]) // never fails, as crypto/rand documents
@@ -401,32 +415,33 @@
 	return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 }
 
-// storeProbe notes whether the last call of the store reached it.
-type storeProbe struct {
+// storeMonitor records whether the last call to the store failed because the store was
+// unavailable or did not answer.
+type storeMonitor struct {
 	storer.Store
 	down *atomic.Bool
 }
 
-func (p *storeProbe) note(err error) {
+func (p *storeMonitor) recordAvailability(err error) {
 	var unavailable *storer.UnavailableError
 	var unknown *storer.UnknownOutcomeError
 	p.down.Store(errors.As(err, &unavailable) || errors.As(err, &unknown))
 }
 
-func (p *storeProbe) CompareAndSwap(ctx context.Context, key string, expect uint64, value []byte) (bool, uint64, error) {
+func (p *storeMonitor) CompareAndSwap(ctx context.Context, key string, expect uint64, value []byte) (bool, uint64, error) {
 	ok, revision, err := p.Store.CompareAndSwap(ctx, key, expect, value)
-	p.note(err)
+	p.recordAvailability(err)
 	return ok, revision, err
 }
 
-func (p *storeProbe) Get(ctx context.Context, key string) (storer.Entry, error) {
+func (p *storeMonitor) Get(ctx context.Context, key string) (storer.Entry, error) {
 	e, err := p.Store.Get(ctx, key)
-	p.note(err)
+	p.recordAvailability(err)
 	return e, err
 }
 
-func (p *storeProbe) Hosts(ctx context.Context) (storer.HostList, error) {
+func (p *storeMonitor) Hosts(ctx context.Context) (storer.HostList, error) {
 	l, err := p.Store.Hosts(ctx)
-	p.note(err)
+	p.recordAvailability(err)
 	return l, err
 }
