--- a/cmd/evaluate/main.go
+++ b/cmd/evaluate/main.go
@@ -1,5 +1,5 @@
-// Command evaluate compares the product's policies with baselines on virtual time and
-// prints a table. The same flags always print the same table.
+// Command evaluate compares the product's policies with baseline policies in a simulation
+// on virtual time, and prints a table. The same flags always print the same table.
 package main
 
 import (
@@ -14,12 +14,12 @@
 )
 
 func main() {
-	seeds := flag.String("seed", "101", "comma-separated seeds; 1 to 20 are for tuning, 101 to 105 for judging")
+	seeds := flag.String("seed", "101", "comma-separated seeds; 1 to 20 are for tuning, 101 to 105 for the final comparison")
 	firm := flag.String("firm", "", "firm (dimasalang or vitosha); empty: both")
 	scenario := flag.String("scenario", "", "comma-separated scenarios; empty: all")
-	minutes := flag.Float64("minutes", 10, "measured virtual minutes of each run")
-	scale := flag.Float64("scale", 1, "share of the firm's hosts that is simulated")
-	broken := flag.Bool("broken", false, "print the first case of each broken guarantee")
+	minutes := flag.Float64("minutes", 10, "measured minutes of virtual time in each run")
+	scale := flag.Float64("scale", 1, "share of the firm's hosts that are simulated")
+	broken := flag.Bool("broken", false, "print the first violation of each guarantee")
 	flag.Parse()
 	if err := run(*seeds, *firm, *scenario, *minutes, *scale, *broken); err != nil {
 		fmt.Fprintln(os.Stderr, "evaluate:", err)
@@ -49,7 +49,7 @@
 		}
 	}
 	if len(firms) == 0 || len(scenarios) == 0 || !(minutes > 0) {
-		return fmt.Errorf("no firm %q, no scenario %q or minutes %g not above 0", firm, scenario, minutes)
+		return fmt.Errorf("nothing to run: firm %q or scenario %q does not exist, or minutes %g are not above 0", firm, scenario, minutes)
 	}
 	policies := append([]evaluator.Policies{evaluator.Product}, evaluator.Baselines()...)
 	rows := evaluator.Evaluate(firms, scenarios, policies, seeds, time.Duration(minutes*float64(time.Minute)), 0)
@@ -59,7 +59,7 @@
 	for _, r := range rows {
 		for g := 1; broken && g <= 9; g++ {
 			if e := r.Example[g]; e != "" {
-				fmt.Printf("%s %s %s seed %d: guarantee %d, %d cases, first %s\n", r.Firm, r.Scenario, r.Policies, r.Seed, g, r.Broken[g], e)
+				fmt.Printf("%s %s %s seed %d: guarantee %d, %d violations, first %s\n", r.Firm, r.Scenario, r.Policies, r.Seed, g, r.Broken[g], e)
 			}
 		}
 	}
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -1,5 +1,5 @@
-// Command measure measures how the cost of each part of an entry host grows and prints
-// the slopes and the figures of docs/CAPACITY.md.
+// Command measure measures how the cost of each component of an entry host grows with the
+// size of the deployment. It prints the slopes and the figures for docs/CAPACITY.md.
 package main
 
 import (
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs the stand-ins for the outside systems of peridotpitch: the
-// platform, workers, backend servers, load, and a relay for partition tests.
+// Command standin emulates the systems around peridotpitch for tests and demonstrations:
+// the platform, workers, backend servers, callers, and a network that can be cut.
 package main
 
 import (
@@ -13,21 +13,21 @@
 	"syscall"
 )
 
-// role is one way to run the program.
+// role is a system that the program emulates, or a task that it performs.
 type role struct {
 	name    string
 	summary string
 	run     func(ctx context.Context, fs *flag.FlagSet, arguments []string, out io.Writer) error
 }
 
-// roles is the table of all roles.
+// roles lists all roles in the order of the usage text.
 var roles = []role{
 	{"platform", "key-value store and host list", runPlatform},
-	{"worker", "workers, which open a backend server for each service task", runWorkers},
+	{"worker", "workers; each starts a backend server for each service task", runWorkers},
 	{"backend", "one backend server", runBackend},
-	{"load", "callers and job submissions; prints outcomes and latencies", runLoad},
-	{"ready", "waits until entry hosts can serve", runReady},
-	{"relay", "forwards TCP between two loopback addresses and can be cut", runRelay},
+	{"load", "sends requests and submits jobs; prints outcomes and latencies", runLoad},
+	{"ready", "waits until entry hosts answer requests", runReady},
+	{"relay", "forwards TCP between two loopback addresses; either direction can be cut", runRelay},
 }
 
 func main() {
--- a/cmd/standin/main_test.go
+++ b/cmd/standin/main_test.go
@@ -10,8 +10,8 @@
 	testscript.Main(m, map[string]func(){"standin": main})
 }
 
-// Guards against a role that lacks its help or starts on wrong flags. package harness
-// tests that SIGTERM stops the program.
-func TestScripts(t *testing.T) {
+// Guards against a role without help, or one that starts with invalid flags. Package
+// harness tests that SIGTERM stops the program.
+func TestUsageAndFlagErrors(t *testing.T) {
 	testscript.Run(t, testscript.Params{Dir: "testdata/script"})
 }
--- a/cmd/standin/roles.go
+++ b/cmd/standin/roles.go
@@ -18,13 +18,13 @@
 	"peridotpitch/internal/relayer"
 )
 
-// Units of memory flags, powers of 1000 as in the configuration.
+// Units of the memory flags: powers of 1000, as in the configuration.
 const (
 	bytesPerGB = 1_000_000_000
 	bytesPerMB = 1_000_000
 )
 
-// addresses implements flag.Value for a list of ip:port.
+// addresses implements flag.Value for a comma-separated list of ip:port.
 type addresses []netip.AddrPort
 
 func (a *addresses) String() string {
@@ -55,8 +55,8 @@
 	})
 }
 
-// serveUntil prints the line that says where a stand-in listens, and waits for the end.
-func serveUntil(ctx context.Context, out io.Writer, line string) error {
+// serveUntilDone prints line, which names the addresses in use, and waits until ctx ends.
+func serveUntilDone(ctx context.Context, out io.Writer, line string) error {
 	if _, err := fmt.Fprintln(out, line); err != nil {
 		return err
 	}
@@ -67,10 +67,10 @@
 func runPlatform(ctx context.Context, fs *flag.FlagSet, arguments []string, out io.Writer) error {
 	var o emulator.PlatformOptions
 	addressVar(fs, &o.Address, "listen", "`ip:port` to listen on (default any loopback port)")
-	fs.Float64Var(&o.WriteRate, "writes", emulator.DefaultWriteRate, "writes per second before 429")
-	fs.Float64Var(&o.ReadRate, "reads", emulator.DefaultReadRate, "reads per second before 429")
+	fs.Float64Var(&o.WriteRate, "writes", emulator.DefaultWriteRate, "writes per second; more are answered with status 429")
+	fs.Float64Var(&o.ReadRate, "reads", emulator.DefaultReadRate, "reads per second; more are answered with status 429")
 	fs.DurationVar(&o.HostLag, "host-lag", time.Second, "age of the host list")
-	fs.Uint64Var(&o.Seed, "seed", 1, "seed of the fault draws")
+	fs.Uint64Var(&o.Seed, "seed", 1, "seed of the random faults")
 	o.Faults.RegisterFlags(fs)
 	if err := fs.Parse(arguments); err != nil {
 		return err
@@ -80,30 +80,30 @@
 		return err
 	}
 	defer stop()
-	return serveUntil(ctx, out, "platform listening address="+a.String())
+	return serveUntilDone(ctx, out, "platform listening address="+a.String())
 }
 
 func runWorkers(ctx context.Context, fs *flag.FlagSet, arguments []string, out io.Writer) error {
 	var first netip.AddrPort
 	var o emulator.WorkerOptions
 	count := fs.Int("count", 1, "number of workers in this process, on consecutive ports")
-	name := fs.String("name", "worker", "name; with -count over 1, followed by -1, -2, ...")
+	name := fs.String("name", "worker", "name of the worker; with -count above 1, followed by -1, -2, ...")
 	addressVar(fs, &first, "listen", "`ip:port` of the first worker (default any loopback ports)")
 	fs.Float64Var(&o.Capacity.Cores, "cores", 16, "cores of each worker")
 	memory := fs.Int64("memory", 60, "memory of each worker in GB")
 	fs.IntVar(&o.Capacity.Accelerators, "accelerators", 0, "accelerators of each worker")
-	fs.DurationVar(&o.ReportLag, "lag", emulator.DefaultReportLag, "age of usage figures in reports")
-	fs.DurationVar(&o.StartTime, "start-time", emulator.DefaultStartTime, "from the start command to running")
+	fs.DurationVar(&o.ReportLag, "lag", emulator.DefaultReportLag, "age of the usage figures in reports")
+	fs.DurationVar(&o.StartTime, "start-time", emulator.DefaultStartTime, "time from the start command until the task runs")
 	fs.DurationVar(&o.CheckpointTime, "checkpoint-time", emulator.DefaultCheckpointTime, "time to take a checkpoint")
 	fs.DurationVar(&o.Backend.ServiceTime, "service-time", emulator.DefaultServiceTime, "mean service time of instances without slowdown")
-	strength := fs.Float64("interference", emulator.DefaultStrength, "upper bound of the hidden interference coefficients")
-	fs.Uint64Var(&o.Seed, "seed", 1, "seed of the hidden interference, usage and fault draws")
+	maxCoefficient := fs.Float64("interference", emulator.DefaultStrength, "upper bound of the emulated interference coefficients")
+	fs.Uint64Var(&o.Seed, "seed", 1, "seed of the interference coefficients, usage and random faults")
 	o.Faults.RegisterFlags(fs)
 	if err := fs.Parse(arguments); err != nil {
 		return err
 	}
 	o.Capacity.Memory = *memory * bytesPerGB
-	o.Interference = emulator.NewInterference(o.Seed, *strength)
+	o.Interference = emulator.NewInterference(o.Seed, *maxCoefficient)
 	lines := make([]string, 0, *count)
 	for i := range *count {
 		w := o
@@ -121,19 +121,19 @@
 		defer stop()
 		lines = append(lines, fmt.Sprintf("worker listening name=%s address=%s", w.Name, a))
 	}
-	return serveUntil(ctx, out, strings.Join(lines, "\n"))
+	return serveUntilDone(ctx, out, strings.Join(lines, "\n"))
 }
 
 func runBackend(ctx context.Context, fs *flag.FlagSet, arguments []string, out io.Writer) error {
 	var o emulator.BackendOptions
 	addressVar(fs, &o.Address, "listen", "`ip:port` to listen on (default any loopback port)")
 	fs.StringVar(&o.Service, "service", "", "name of the service")
-	fs.IntVar(&o.Slots, "slots", emulator.DefaultSlots, "requests that run at once")
-	fs.IntVar(&o.Connections, "connections", emulator.DefaultConnections, "connections accepted at once")
+	fs.IntVar(&o.Slots, "slots", emulator.DefaultSlots, "maximum number of concurrent requests")
+	fs.IntVar(&o.Connections, "connections", emulator.DefaultConnections, "maximum number of open connections")
 	fs.DurationVar(&o.ServiceTime, "service-time", emulator.DefaultServiceTime, "mean service time")
 	fs.StringVar((*string)(&o.Shape), "shape", string(emulator.ShapeLogNormal), "distribution of service times: fixed, exponential or lognormal")
 	fs.IntVar(&o.AnswerSize, "answer-size", emulator.DefaultAnswerSize, "bytes of padding in answers")
-	fs.Uint64Var(&o.Seed, "seed", 1, "seed of service times and fault draws")
+	fs.Uint64Var(&o.Seed, "seed", 1, "seed of the service times and random faults")
 	o.Faults.RegisterFlags(fs)
 	if err := fs.Parse(arguments); err != nil {
 		return err
@@ -143,14 +143,14 @@
 		return err
 	}
 	defer stop()
-	return serveUntil(ctx, out, "backend listening address="+a.String())
+	return serveUntilDone(ctx, out, "backend listening address="+a.String())
 }
 
 func runRelay(ctx context.Context, fs *flag.FlagSet, arguments []string, out io.Writer) error {
 	var listen, target, control netip.AddrPort
 	addressVar(fs, &listen, "listen", "`ip:port` to listen on (default any loopback port)")
 	addressVar(fs, &target, "target", "`ip:port` to forward to")
-	addressVar(fs, &control, "control", "`ip:port` that takes POST of {\"Forward\":true,\"Backward\":true} (default: no control)")
+	addressVar(fs, &control, "control", "`ip:port` that takes POST of {\"Forward\":true,\"Backward\":true} (default: the cut cannot be changed)")
 	if err := fs.Parse(arguments); err != nil {
 		return err
 	}
@@ -168,17 +168,17 @@
 			_ = g.Wait() // always http.ErrServerClosed here
 		}()
 	}
-	return serveUntil(ctx, out, "relay listening address="+a.String())
+	return serveUntilDone(ctx, out, "relay listening address="+a.String())
 }
 
-// runReady waits until entry hosts can serve: each says that it is ready, and each answers
-// one request to each service.
+// runReady waits until each entry host answers /ready with 200 and has answered one request
+// to each service.
 func runReady(ctx context.Context, fs *flag.FlagSet, arguments []string, out io.Writer) error {
 	var entries addresses
 	fs.Var(&entries, "entry", "caller `addresses` of entry hosts, separated by commas")
 	services := fs.String("services", "", "services to call, separated by commas")
 	tenant := fs.String("tenant", "", "tenant of the calls")
-	limit := fs.Duration("limit", time.Minute, "how long to wait")
+	limit := fs.Duration("limit", time.Minute, "maximum waiting time")
 	if err := fs.Parse(arguments); err != nil {
 		return err
 	}
@@ -192,7 +192,7 @@
 			}
 		}
 		for _, p := range paths {
-			if err := await(ctx, "http://"+a.String()+p, *tenant); err != nil {
+			if err := waitForOK(ctx, "http://"+a.String()+p, *tenant); err != nil {
 				return fmt.Errorf("%s%s: %w", a, p, err)
 			}
 		}
@@ -201,9 +201,9 @@
 	return err
 }
 
-// await repeats a GET until it is answered with 200.
-func await(ctx context.Context, url, tenant string) error {
-	last := "no answer"
+// waitForOK repeats a GET request until the answer has status 200 or ctx ends.
+func waitForOK(ctx context.Context, url, tenant string) error {
+	lastAnswer := "no answer"
 	for {
 		q, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 		if err != nil {
@@ -213,42 +213,42 @@
 		q.Header.Set("Peridot-Timeout", "1s")
 		resp, err := http.DefaultClient.Do(q)
 		if err == nil {
-			text, _ := io.ReadAll(io.LimitReader(resp.Body, 300)) // only for the error
+			text, _ := io.ReadAll(io.LimitReader(resp.Body, 300)) // only used in the error text
 			_ = resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
 				return nil
 			}
-			last = fmt.Sprintf("status %d: %s", resp.StatusCode, text)
+			lastAnswer = fmt.Sprintf("status %d: %s", resp.StatusCode, text)
 		}
 		select {
 		case <-time.After(100 * time.Millisecond):
 		case <-ctx.Done():
-			return fmt.Errorf("not ready at the end of the wait: %s", last)
+			return fmt.Errorf("not ready within the waiting time: %s", lastAnswer)
 		}
 	}
 }
 
-// load are the flags of the role load.
-type load struct {
+// loadFlags are the flags of the role load.
+type loadFlags struct {
 	callers generator.CallerOptions
 	jobs    generator.JobOptions
 	workers addresses
 	memory  int64 // MB
 }
 
-func (l *load) register(fs *flag.FlagSet) {
+func (l *loadFlags) register(fs *flag.FlagSet) {
 	c, j := &l.callers, &l.jobs
 	fs.Var((*addresses)(&c.Entries), "entry", "caller `addresses` of entry hosts, separated by commas")
 	fs.Float64Var(&c.Rate, "rate", 100, "requests per second")
 	fs.IntVar(&c.Count, "count", 1000, "number of requests")
-	fs.DurationVar(&c.Duration, "duration", time.Minute, "bound of the run of requests")
+	fs.DurationVar(&c.Duration, "duration", time.Minute, "maximum duration of sending requests")
 	fs.Var(&c.Services, "services", "`mix` of services, for example quotes:3,orders:1")
 	fs.Var(&c.Tenants, "tenants", "`mix` of tenants")
 	fs.Var(&c.Classes, "classes", "`mix` of classes urgent and normal")
 	fs.Float64Var(&c.Repeatable, "repeatable", 0.5, "share of requests that may be repeated")
 	fs.DurationVar(&c.Timeout, "timeout", time.Second, "timeout of requests")
 	fs.IntVar(&c.BodySize, "body", 128, "bytes of request bodies")
-	fs.DurationVar(&c.HealthEvery, "health-every", 0, "ask /ready this often and leave out hosts that are not ready (0: never)")
+	fs.DurationVar(&c.HealthEvery, "health-every", 0, "interval of readiness checks; hosts that are not ready get no requests (0: no checks)")
 	fs.StringVar(&c.Run, "run", "", "prefix of tokens and job names")
 	fs.Uint64Var(&c.Seed, "seed", 1, "seed of arrivals and mixes")
 	fs.Var((*addresses)(&j.Admins), "admin", "administration `addresses` of entry hosts, for jobs")
@@ -257,15 +257,15 @@
 	fs.Var(&j.Classes, "job-classes", "`mix` of job classes")
 	fs.Var(&j.Teams, "job-teams", "`mix` of teams")
 	fs.Float64Var(&j.Urgent, "job-urgent", 0.1, "share of urgent jobs")
-	fs.DurationVar(&j.Duration, "job-duration", time.Second, "mean of the work of a job")
-	fs.DurationVar(&j.Wait, "job-wait", 30*time.Second, "how long to wait for the jobs to end")
+	fs.DurationVar(&j.Duration, "job-duration", time.Second, "mean duration of the work of a job")
+	fs.DurationVar(&j.Wait, "job-wait", 30*time.Second, "maximum time to wait for the jobs to end")
 	fs.Float64Var(&j.Declared.Cores, "job-cores", 0, "declared cores (0: the class's size)")
 	fs.Int64Var(&l.memory, "job-memory", 0, "declared memory in MB, with -job-cores")
-	fs.Var(&l.workers, "workers", "`addresses` of all worker stand-ins, to compare outcomes with what ran")
+	fs.Var(&l.workers, "workers", "`addresses` of all emulated workers, to compare outcomes with the executions")
 }
 
 func runLoad(ctx context.Context, fs *flag.FlagSet, arguments []string, out io.Writer) error {
-	var l load
+	var l loadFlags
 	l.register(fs)
 	if err := fs.Parse(arguments); err != nil {
 		return err
@@ -275,7 +275,7 @@
 	return l.run(ctx, out)
 }
 
-func (l *load) run(ctx context.Context, out io.Writer) error {
+func (l *loadFlags) run(ctx context.Context, out io.Writer) error {
 	requests, jobs := &generator.Result{}, &generator.Result{}
 	g, running := errgroup.WithContext(ctx)
 	if len(l.callers.Entries) > 0 {
@@ -298,15 +298,16 @@
 			return err
 		}
 	}
-	return l.compare(ctx, requests, out)
+	return l.checkGuarantees(ctx, requests, out)
 }
 
-// compare prints the violations of the guarantees that the stand-ins saw.
-func (l *load) compare(ctx context.Context, r *generator.Result, out io.Writer) error {
+// checkGuarantees compares the outcomes that callers got with the executions on the
+// emulated workers, and prints all violations of the guarantees.
+func (l *loadFlags) checkGuarantees(ctx context.Context, r *generator.Result, out io.Writer) error {
 	if len(l.workers) == 0 {
 		return nil
 	}
-	ran := make(map[string]int)
+	executions := make(map[string]int)
 	var runs []emulator.Run
 	var counts emulator.MachineCounts
 	for _, a := range l.workers {
@@ -314,19 +315,19 @@
 		var rs []emulator.Run
 		var c emulator.MachineCounts
 		for path, v := range map[string]any{"/executions": &tokens, "/runs": &rs, "/counts": &c} {
-			if err := fetch(ctx, a, path, v); err != nil {
+			if err := getJSON(ctx, a, path, v); err != nil {
 				return err
 			}
 		}
 		for t, n := range tokens {
-			ran[t] += n
+			executions[t] += n
 		}
 		runs = append(runs, rs...)
 		counts.Overcommits += c.Overcommits
 		counts.DoubleStarts += c.DoubleStarts
 		counts.EpochConflicts += c.EpochConflicts
 	}
-	violations := append(r.Violations(ran, true), emulator.Violations(runs, time.Now())...)
+	violations := append(r.Violations(executions, true), emulator.Violations(runs, time.Now())...)
 	for _, v := range violations {
 		if _, err := fmt.Fprintln(out, "violation:", v); err != nil {
 			return err
@@ -337,7 +338,8 @@
 	return err
 }
 
-func fetch(ctx context.Context, a netip.AddrPort, path string, v any) error {
+// getJSON decodes the JSON answer to a GET request into v.
+func getJSON(ctx context.Context, a netip.AddrPort, path string, v any) error {
 	q, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+a.String()+path, nil)
 	if err != nil {
 		return err
@@ -348,7 +350,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s%s was answered with status %d", a, path, resp.StatusCode)
+		return fmt.Errorf("GET %s%s was answered with status %d", a, path, resp.StatusCode)
 	}
 	return json.NewDecoder(resp.Body).Decode(v)
 }
--- a/internal/relayer/doc.go
+++ b/internal/relayer/doc.go
@@ -1,7 +1,7 @@
 // Package relayer forwards TCP connections between two loopback addresses for partition
-// tests. It can be cut in either direction while connections are open: bytes of a cut
-// direction are held back, as on a network that loses every packet, and connections stay
+// tests. Either direction can be cut while connections are open. A cut holds back the
+// bytes of its direction, as a network that loses every packet does. Connections stay
 // open until the cut ends or the relay stops.
 //
-// One lock guards the cut and the set of open connections.
+// A single lock guards the cut and the set of open connections.
 package relayer
--- a/internal/relayer/relay.go
+++ b/internal/relayer/relay.go
@@ -13,10 +13,10 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Cut names the directions that are cut.
+// Cut says which directions of a relay are cut.
 type Cut struct {
-	Forward  bool // from the side that connects to the target
-	Backward bool // from the target to the side that connects
+	Forward  bool // from the client to the target
+	Backward bool // from the target to the client
 }
 
 const (
@@ -32,14 +32,15 @@
 
 	mu      sync.Mutex // guards the fields below
 	cut     Cut
-	changed chan struct{} // closed at each change of cut, and at the stop
+	changed chan struct{} // closed and replaced when cut changes and when the relay stops
 	stopped bool
 	conns   map[net.Conn]bool
-	bytes   int64
+	bytes   int64 // forwarded in both directions
 }
 
-// New starts a relay from listen, where the zero address means any loopback port, to
-// target. It returns the relay, its address and a function that stops it.
+// New starts a relay that listens on listen and forwards to target. With the zero address
+// it listens on any loopback port. It returns the relay, its address and a function that
+// stops it.
 func New(listen, target netip.AddrPort) (*Relay, netip.AddrPort, func(), error) {
 	if !listen.IsValid() {
 		listen = netip.MustParseAddrPort("127.0.0.1:0")
@@ -56,15 +57,17 @@
 	return r, l.Addr().(*net.TCPAddr).AddrPort(), r.stop, nil
 }
 
-// SetCut replaces the cut. Bytes held back are forwarded when their direction is open.
+// SetCut replaces the cut. Bytes that were held back are forwarded as soon as their
+// direction is open.
 func (r *Relay) SetCut(c Cut) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cut = c
-	r.signalLocked()
+	r.wakeWaitersLocked()
 }
 
-func (r *Relay) signalLocked() {
+// wakeWaitersLocked wakes all goroutines in waitUntilOpen. r.mu must be held.
+func (r *Relay) wakeWaitersLocked() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
@@ -79,7 +82,7 @@
 func (r *Relay) stop() {
 	r.mu.Lock()
 	r.stopped = true
-	r.signalLocked()
+	r.wakeWaitersLocked()
 	for c := range r.conns {
 		_ = c.Close()
 	}
@@ -101,15 +104,16 @@
 	}
 }
 
+// forward connects an accepted connection to the target and copies both directions.
 func (r *Relay) forward(in net.Conn) {
 	defer func() { _ = in.Close() }()
 	if !r.add(in) {
 		return
 	}
 	defer r.remove(in)
-	// A connection made during a forward cut stays open without a peer, as its first
-	// packets are lost.
-	if !r.pass(func(c Cut) bool { return c.Forward }) {
+	// A connection accepted during a forward cut stays open, but the target is not dialed:
+	// the cut loses the first packets of the connection.
+	if !r.waitUntilOpen(func(c Cut) bool { return c.Forward }) {
 		return
 	}
 	out, err := net.DialTimeout("tcp", r.target.String(), dialTimeout)
@@ -127,6 +131,7 @@
 	_ = g.Wait()
 }
 
+// add registers a connection for stop. It returns false if the relay has stopped.
 func (r *Relay) add(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -140,8 +145,9 @@
 	delete(r.conns, c)
 }
 
-// pass waits until the direction is open, and reports false if the relay stopped.
-func (r *Relay) pass(isCut func(Cut) bool) bool {
+// waitUntilOpen waits until isCut returns false for the current cut. It returns false if
+// the relay stops before that.
+func (r *Relay) waitUntilOpen(isCut func(Cut) bool) bool {
 	for {
 		r.mu.Lock()
 		cut, stopped, changed := isCut(r.cut), r.stopped, r.changed
@@ -156,12 +162,13 @@
 	}
 }
 
-// copy forwards one direction until it ends, and then passes the end on.
+// copy forwards the bytes of one direction. At the end of the stream it closes the write
+// side of the other connection, and after an error the whole connection.
 func (r *Relay) copy(to, from net.Conn, isCut func(Cut) bool) {
 	b := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(b)
-		if !r.pass(isCut) {
+		if !r.waitUntilOpen(isCut) {
 			return
 		}
 		if n > 0 {
@@ -184,7 +191,8 @@
 	}
 }
 
-// ServeHTTP sets the cut from the JSON body of a POST, and answers with the cut.
+// ServeHTTP sets the cut from the JSON body of a POST request. It answers every request
+// with the current cut.
 func (r *Relay) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	if q.Method == http.MethodPost {
 		var c Cut
@@ -198,6 +206,6 @@
 	c := r.cut
 	r.mu.Unlock()
 	if err := json.NewEncoder(w).Encode(c); err != nil {
-		return // the client is gone
+		return // the client has disconnected
 	}
 }
--- a/internal/relayer/relay_test.go
+++ b/internal/relayer/relay_test.go
@@ -14,8 +14,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// echo is a server that sends back what it receives.
-func echo(t *testing.T) netip.AddrPort {
+// startEchoServer starts a server that sends back the bytes it receives, and returns its
+// address.
+func startEchoServer(t *testing.T) netip.AddrPort {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -37,12 +38,13 @@
 	return l.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// Guards against a partition test whose cut lets bytes through, or never heals.
-func TestCutsHoldBytesBack(t *testing.T) {
+// Guards against partition tests without a partition: a cut must hold back all bytes of
+// its direction, and the bytes must arrive after the cut ends.
+func TestCutHoldsBackBytes(t *testing.T) {
 	for name, c := range map[string]Cut{"forward": {Forward: true}, "backward": {Backward: true}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			r, address, stop, err := New(netip.AddrPort{}, echo(t))
+			r, address, stop, err := New(netip.AddrPort{}, startEchoServer(t))
 			is.NoErr(err)
 			defer stop()
 			conn, err := net.Dial("tcp", address.String())
@@ -70,8 +72,9 @@
 	}
 }
 
-// Guards against a relay to other hosts.
-func TestOnlyLoopback(t *testing.T) {
+// Guards against a relay that opens access to other hosts: only loopback addresses are
+// accepted.
+func TestRefusesAddressesOfOtherHosts(t *testing.T) {
 	is := is.New(t)
 	_, _, _, err := New(netip.AddrPort{}, netip.MustParseAddrPort("10.0.0.1:80"))
 	is.True(err != nil)
