--- a/internal/commandline/config.go
+++ b/internal/commandline/config.go
@@ -17,19 +17,23 @@
 	"peridotpitch/internal/publisher"
 )
 
-// signatureSuffix is appended to a text's path to name its signature file.
+// signatureSuffix is appended to the path of a configuration text to get the default path
+// of its signature file.
 const signatureSuffix = ".sig"
 
 var configCommands = []command{
 	{name: "config keygen", summary: "Create an operator's key pair; print the public key for the settings files.", setup: keygen},
-	{name: "config check", arguments: "TEXT", min: 1, max: 1, summary: "Check a configuration text and list every fault.", setup: checkText},
-	{name: "config diff", arguments: "OLD NEW", min: 2, max: 2, summary: "Show the differences between two configuration texts.", setup: diffTexts},
-	{name: "config sign", arguments: "TEXT", min: 1, max: 1, summary: "Sign a valid configuration text.", setup: signText},
-	{name: "config apply", arguments: "TEXT", min: 1, max: 1, remote: true, summary: "Apply a signed configuration text.", setup: applyText},
+	{name: "config check", arguments: "TEXT", minArguments: 1, maxArguments: 1, summary: "Check a configuration text and list every fault.", setup: checkText},
+	{name: "config diff", arguments: "OLD NEW", minArguments: 2, maxArguments: 2, summary: "Show the differences between two configuration texts.", setup: diffTexts},
+	{name: "config sign", arguments: "TEXT", minArguments: 1, maxArguments: 1, summary: "Sign a valid configuration text.", setup: signText},
+	{name: "config apply", arguments: "TEXT", minArguments: 1, maxArguments: 1, remote: true, summary: "Apply a signed configuration text.", setup: applyText},
 	{name: "config show", remote: true, summary: "Show the configuration in effect.", setup: showConfiguration},
 	{name: "config history", remote: true, summary: "List the latest configurations, newest first.", setup: showHistory},
 }
 
+// The functions below set up one subcommand each: they declare its flags and return the
+// function that executes it.
+
 func keygen(fs *flag.FlagSet) func(*call) error {
 	name := fs.String("name", "", "`name` of the operator")
 	out := fs.String("out", "", "`file` for the private key; must not exist")
@@ -51,7 +55,7 @@
 	}
 }
 
-// readText reads and checks a configuration text.
+// readText reads, parses and checks a configuration text.
 func readText(path string) ([]byte, *configurator.Configuration, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -130,6 +134,7 @@
 	}
 }
 
+// readSignature reads a signature file as written by config sign.
 func readSignature(path string) ([]byte, error) {
 	encoded, err := os.ReadFile(path)
 	if err != nil {
@@ -137,7 +142,7 @@
 	}
 	signature, err := base64.StdEncoding.DecodeString(strings.TrimSpace(string(encoded)))
 	if err != nil || len(signature) != ed25519.SignatureSize {
-		return nil, merry.Errorf("%s: line 1: signature is not accepted; allowed: one line of base64 with %d bytes, as written by config sign", path, ed25519.SignatureSize)
+		return nil, merry.Errorf("%s: line 1: signature is not accepted; allowed: one line of base64 that encodes %d bytes, as written by config sign", path, ed25519.SignatureSize)
 	}
 	return signature, nil
 }
@@ -145,7 +150,7 @@
 func applyText(fs *flag.FlagSet) func(*call) error {
 	keyName := fs.String("key-name", "", "`name` of the signing key in the entry hosts' settings")
 	signatureFile := fs.String("signature", "", "`file` of the signature; default TEXT"+signatureSuffix)
-	by := fs.String("by", "", "`name` that others are shown; default $USER, else the key's name")
+	by := fs.String("by", "", "`name` of the person who applies the text; default $USER, else the key's name")
 	return func(c *call) error {
 		if *keyName == "" {
 			return usagef("flag -key-name is required")
@@ -184,7 +189,7 @@
 }
 
 func showConfiguration(fs *flag.FlagSet) func(*call) error {
-	textOnly := fs.Bool("text", false, "print the exact signed text only")
+	textOnly := fs.Bool("text", false, "print only the signed text, byte for byte")
 	return func(c *call) error {
 		v, err := c.client.ShowConfiguration(c.ctx)
 		if err != nil {
@@ -202,7 +207,7 @@
 			row(w, "Key", r.Key)
 			row(w, "In effect", fmt.Sprintf("%s on %s", formatAge(v.InEffectFor), v.Host))
 			_, _ = fmt.Fprintln(w)
-			row(w, "HOST", "GENERATION", "IN EFFECT FOR", "HEARD AGO")
+			row(w, "HOST", "GENERATION", "IN EFFECT FOR", "HEARTBEAT AGE")
 			for _, h := range v.Hosts {
 				row(w, h.Host, h.Generation, formatAge(h.InEffectFor), formatAge(h.HeardAgo))
 			}
@@ -213,7 +218,7 @@
 
 func showHistory(fs *flag.FlagSet) func(*call) error {
 	limit := 20
-	limitFlag(fs, &limit, publisher.HistoryLimit, "configurations")
+	countFlag(fs, &limit, publisher.HistoryLimit, "configurations")
 	return func(c *call) error {
 		rs, err := c.client.ConfigurationHistory(c.ctx, limit)
 		if err != nil {
--- a/internal/commandline/explain.go
+++ b/internal/commandline/explain.go
@@ -12,8 +12,8 @@
 )
 
 var explainCommand = command{
-	name: "explain", arguments: "ID [LOG...]", min: 1, max: 1 + maxLogs, remote: true, local: 2,
-	summary: "Show the decisions about a job, task, worker or request; with log files, from these.",
+	name: "explain", arguments: "ID [LOG...]", minArguments: 1, maxArguments: 1 + maxLogFiles, remote: true, minLocalArguments: 2,
+	summary: "Show the decisions about a job, task, worker or request, from entry hosts or from log files.",
 	setup: func(*flag.FlagSet) func(*call) error {
 		return func(c *call) error {
 			if len(c.arguments) > 1 {
@@ -34,6 +34,7 @@
 	},
 }
 
+// explainLogs prints the log lines about an ID.
 func (c *call) explainLogs(files []string, id string) error {
 	g, err := c.readLogs(files)
 	if err != nil {
@@ -43,8 +44,8 @@
 }
 
 var breakdownCommand = command{
-	name: "breakdown", arguments: "LOG...", min: 1, max: maxLogs,
-	summary: "Show from log files where the time of each queue's jobs went, and who led.",
+	name: "breakdown", arguments: "LOG...", minArguments: 1, maxArguments: maxLogFiles,
+	summary: "Show from log files how long the jobs of each queue waited and ran, and which hosts led.",
 	setup: func(*flag.FlagSet) func(*call) error {
 		return func(c *call) error {
 			g, err := c.readLogs(c.arguments)
@@ -62,8 +63,9 @@
 	},
 }
 
-// maxLogs bounds the logs of one call; a deployment has at most a few hundred hosts.
-const maxLogs = 1000
+// maxLogFiles limits the log files of one call. A deployment has at most a few hundred
+// hosts.
+const maxLogFiles = 1000
 
 // readLogs reads the log files of entry hosts. "-" stands for standard input.
 func (c *call) readLogs(files []string) (*explainer.Log, error) {
@@ -80,10 +82,10 @@
 		return nil, err
 	}
 	if len(g.Lines) == 0 {
-		return nil, fmt.Errorf("no log line of an entry host in %s", strings.Join(files, ", "))
+		return nil, fmt.Errorf("no log lines of an entry host in %s", strings.Join(files, ", "))
 	}
 	if g.Skipped > 0 {
-		_, _ = fmt.Fprintf(c.Stderr, "%d lines are no log lines of an entry host and were passed over\n", g.Skipped)
+		_, _ = fmt.Fprintf(c.Stderr, "skipped %d lines that are not log lines of an entry host\n", g.Skipped)
 	}
 	return g, nil
 }
--- a/internal/commandline/keyfile.go
+++ b/internal/commandline/keyfile.go
@@ -9,7 +9,8 @@
 	"peridotpitch/internal/configurator"
 )
 
-// keyFileMode is the only accepted kind of access to a private key: its owner's.
+// keyFileMode is the widest file mode that is accepted for a private key: access by its
+// owner only.
 const keyFileMode = 0o600
 
 // writeKeyFile writes a private key to a new file.
@@ -18,7 +19,7 @@
 	if err != nil {
 		return err
 	}
-	// O_EXCL keeps an existing key from being lost.
+	// O_EXCL prevents overwriting an existing key.
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, keyFileMode)
 	if err != nil {
 		return merry.Prepend(err, "write private key")
@@ -30,8 +31,8 @@
 	return err
 }
 
-// readKeyFile reads a private key. It refuses a file that others than its owner may
-// access, because whoever reads the key can sign in the operator's name.
+// readKeyFile reads a private key. It refuses a file to which others than its owner have
+// access, because anyone who can read the key can sign in the operator's name.
 func readKeyFile(path string) (ed25519.PrivateKey, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -54,5 +55,5 @@
 	return key, merry.Prependf(err, "%s", path)
 }
 
-// maxKeyFileSize bounds a key file, in bytes. A PEM file has about 120.
+// maxKeyFileSize is the maximum size of a key file in bytes. A PEM file has about 120.
 const maxKeyFileSize = 4096
--- a/internal/commandline/operate.go
+++ b/internal/commandline/operate.go
@@ -42,7 +42,7 @@
 var entryCommand = command{
 	name: "entry", summary: "Run an entry host on the users' platform.",
 	setup: func(fs *flag.FlagSet) func(*call) error {
-		path := fs.String("settings", "", "settings `file`; by default the one that the platform names")
+		path := fs.String("settings", "", "settings `file`; default from the platform's environment variable")
 		check := fs.Bool("check", false, "check the settings file and exit")
 		return func(c *call) error {
 			file := *path
@@ -65,8 +65,8 @@
 }
 
 var jobCommands = []command{
-	{name: "job submit", remote: true, summary: "Submit a batch job. Submitting the same job again is safe.", setup: submitJob},
-	{name: "job show", arguments: "NAME", min: 1, max: 1, remote: true, summary: "Show a job.", setup: func(*flag.FlagSet) func(*call) error {
+	{name: "job submit", remote: true, summary: "Submit a batch job. Repeating a submission is safe.", setup: submitJob},
+	{name: "job show", arguments: "NAME", minArguments: 1, maxArguments: 1, remote: true, summary: "Show a job.", setup: func(*flag.FlagSet) func(*call) error {
 		return func(c *call) error {
 			j, err := c.client.ShowJob(c.ctx, c.arguments[0])
 			if err != nil {
@@ -76,7 +76,7 @@
 		}
 	}},
 	{name: "job list", remote: true, summary: "List jobs.", setup: listJobs},
-	{name: "job cancel", arguments: "NAME", min: 1, max: 1, remote: true, summary: "Cancel a job.", setup: func(*flag.FlagSet) func(*call) error {
+	{name: "job cancel", arguments: "NAME", minArguments: 1, maxArguments: 1, remote: true, summary: "Cancel a job.", setup: func(*flag.FlagSet) func(*call) error {
 		return func(c *call) error {
 			j, err := c.client.CancelJob(c.ctx, c.arguments[0])
 			if err != nil {
@@ -92,7 +92,7 @@
 	fs.StringVar(&s.Name, "name", "", "unique `name` of the job")
 	fs.StringVar(&s.Class, "class", "", "job class `name`")
 	fs.StringVar(&s.Team, "team", "", "team `name`")
-	fs.BoolVar(&s.Urgent, "urgent", false, "start before other jobs")
+	fs.BoolVar(&s.Urgent, "urgent", false, "start before jobs that are not urgent")
 	fs.Func("cores", "`number` of declared cores; default: the class's size", func(text string) error {
 		v, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(v > 0 && v <= 1024) {
@@ -113,7 +113,7 @@
 		s.Declared.Accelerators = int(v)
 		return nil
 	})
-	durationFlag(fs, &s.Duration, "duration", "`duration` of the work; used by stand-in workers only")
+	durationFlag(fs, &s.Duration, "duration", "`duration` of the work; used by emulated workers only")
 	return func(c *call) error {
 		for _, f := range []struct{ name, value string }{{"name", s.Name}, {"class", s.Class}, {"team", s.Team}} {
 			if f.value == "" {
@@ -121,7 +121,7 @@
 			}
 		}
 		if d := s.Declared; (d.Cores > 0) != (d.Memory > 0) || d.Accelerators > 0 && d.Cores == 0 {
-			return usagef("flags -cores and -memory are given together, or neither, which declares the class's size")
+			return usagef("flags -cores and -memory must be given together, and with -accelerators; without them the class's size is declared")
 		}
 		j, err := c.client.SubmitJob(c.ctx, s)
 		if err != nil {
@@ -131,6 +131,7 @@
 	}
 }
 
+// showJob prints the status of a job.
 func (c *call) showJob(j scheduler.JobStatus) error {
 	return c.show(j, func(w io.Writer) {
 		row(w, "Job", j.Spec.Name)
@@ -159,7 +160,7 @@
 		f.State, err = administrator.ParseJobState(text)
 		return err
 	})
-	limitFlag(fs, &f.Limit, administrator.MaxJobLimit, "jobs")
+	countFlag(fs, &f.Limit, administrator.MaxJobLimit, "jobs")
 	return func(c *call) error {
 		js, err := c.client.ListJobs(c.ctx, f)
 		if err != nil {
@@ -174,12 +175,12 @@
 	}
 }
 
-// limitFlag declares a flag for a number from 1 to most.
-func limitFlag(fs *flag.FlagSet, n *int, most int, usage string) {
-	fs.Func("limit", fmt.Sprintf("largest `number` of %s (default %d)", usage, *n), func(text string) error {
+// countFlag declares the flag -limit for a number from 1 to limit.
+func countFlag(fs *flag.FlagSet, n *int, limit int, usage string) {
+	fs.Func("limit", fmt.Sprintf("maximum `number` of %s (default %d)", usage, *n), func(text string) error {
 		v, err := strconv.Atoi(text)
-		if err != nil || v < 1 || v > most {
-			return fmt.Errorf("allowed: 1 to %d", most)
+		if err != nil || v < 1 || v > limit {
+			return fmt.Errorf("allowed: 1 to %d", limit)
 		}
 		*n = v
 		return nil
@@ -209,7 +210,7 @@
 }
 
 var serviceShowCommand = command{
-	name: "service show", arguments: "NAME", min: 1, max: 1, remote: true, summary: "Show a service and its instances.",
+	name: "service show", arguments: "NAME", minArguments: 1, maxArguments: 1, remote: true, summary: "Show a service and its instances.",
 	setup: func(*flag.FlagSet) func(*call) error {
 		return func(c *call) error {
 			s, err := c.client.ShowService(c.ctx, c.arguments[0])
@@ -264,15 +265,15 @@
 	}
 }
 
-// hostDrainCommand returns host drain, or host undrain if undo is set.
+// hostDrainCommand returns the command host drain, or host undrain if undo is set.
 func hostDrainCommand(undo bool) command {
-	c := command{name: "host drain", summary: "Give a host no new work, for example before it is repaired."}
+	c := command{name: "host drain", summary: "Stop assigning new work to a host, for example before a repair."}
 	done := "host %s is draining\n"
 	if undo {
 		c = command{name: "host undrain", summary: "Return a drained host to service."}
 		done = "host %s is in service\n"
 	}
-	c.arguments, c.min, c.max, c.remote = "NAME", 1, 1, true
+	c.arguments, c.minArguments, c.maxArguments, c.remote = "NAME", 1, 1, true
 	c.setup = func(*flag.FlagSet) func(*call) error {
 		return func(c *call) error {
 			host := c.arguments[0]
@@ -289,7 +290,7 @@
 }
 
 var statusCommand = command{
-	name: "status", remote: true, summary: "Summarize the system as one entry host sees it.",
+	name: "status", remote: true, summary: "Show a summary of the system from one entry host.",
 	setup: func(*flag.FlagSet) func(*call) error {
 		return func(c *call) error {
 			s, err := c.client.Status(c.ctx)
--- a/internal/commandline/output.go
+++ b/internal/commandline/output.go
@@ -13,13 +13,14 @@
 	"peridotpitch/internal/configurator"
 )
 
-// show prints v as JSON, or calls human with a writer that aligns columns.
-func (c *call) show(v any, human func(w io.Writer)) error {
+// show prints v as JSON if -json is set. Otherwise it calls printText with a writer that
+// aligns tab-separated columns.
+func (c *call) show(v any, printText func(w io.Writer)) error {
 	if c.json {
 		return writeJSON(c.Stdout, v)
 	}
 	w := tabwriter.NewWriter(c.Stdout, 0, 0, 2, ' ', 0)
-	human(w)
+	printText(w)
 	return w.Flush()
 }
 
@@ -30,7 +31,7 @@
 	return e.Encode(v)
 }
 
-// row writes tab-separated cells.
+// row writes a line of tab-separated cells. An empty cell becomes "-".
 func row(w io.Writer, cells ...any) {
 	texts := make([]string, len(cells))
 	for i, c := range cells {
@@ -41,14 +42,14 @@
 	_, _ = fmt.Fprintln(w, strings.Join(texts, "\t"))
 }
 
-// fail prints err and returns its exit code.
+// fail prints err, and returns the exit code for it.
 func fail(e Environment, asJSON bool, err error) int {
 	code, shown := classify(err)
 	if asJSON {
 		_ = writeJSON(e.Stdout, struct{ Error *administrator.Error }{shown})
 	}
 	var invalid *configurator.InvalidError
-	if errors.As(err, &invalid) { // its text lists the faults with the file's name
+	if errors.As(err, &invalid) { // its text lists the faults with the name of the file
 		_, _ = fmt.Fprintf(e.Stderr, "peridotpitch: %s:\n%v\n", shown.Message, err)
 		return code
 	}
@@ -62,7 +63,7 @@
 	return code
 }
 
-// classify returns the exit code of err and the error to print.
+// classify returns the exit code for err and the error to print.
 func classify(err error) (int, *administrator.Error) {
 	var usage *usageError
 	var remote *administrator.Error
@@ -89,7 +90,7 @@
 	return ExitRefused, &administrator.Error{Code: administrator.CodeInternal, Message: err.Error()}
 }
 
-// formatTime returns t in UTC, empty for the zero time.
+// formatTime formats t in UTC. It returns an empty string for the zero time.
 func formatTime(t time.Time) string {
 	if t.IsZero() {
 		return ""
@@ -97,7 +98,7 @@
 	return t.UTC().Format(time.RFC3339)
 }
 
-// formatAge rounds d for reading.
+// formatAge formats d rounded to 100 ms.
 func formatAge(d time.Duration) string { return d.Round(100 * time.Millisecond).String() }
 
 func formatResources(r configurator.Resources) string {
--- a/internal/commandline/run.go
+++ b/internal/commandline/run.go
@@ -23,21 +23,22 @@
 	ExitUnreachable = 3 // entry host or store unreachable, or the outcome is unknown
 )
 
-// addressVariable names the environment variable that holds the default of -address.
+// addressVariable is the environment variable with the default of the flag -address.
 const addressVariable = "PERIDOTPITCH_ADDRESS"
 
-// defaultTimeout bounds a request to an entry host. It exceeds the time that an entry
-// host spends on one, so that its answer arrives.
+// defaultTimeout limits a request to an entry host. It is longer than the limit on the
+// entry host, so that the host's answer arrives also when its own limit expires.
 const defaultTimeout = administrator.RequestTimeout + 5*time.Second
 
 // Serve runs an entry host until ctx ends.
 type Serve func(ctx context.Context, s loader.Settings) error
 
-// Entry runs an entry host on the users' platform until ctx ends. path is that of its
+// Entry runs an entry host on the users' platform until ctx ends. path is the path of the
 // settings file.
 type Entry func(ctx context.Context, path string) error
 
-// Environment is what a subcommand uses of its process.
+// Environment contains the streams, variables and functions that the process provides to a
+// subcommand.
 type Environment struct {
 	Stdout io.Writer
 	Stderr io.Writer
@@ -46,8 +47,8 @@
 	Entry  Entry
 	// CheckEntry checks the settings file of an entry host on the users' platform.
 	CheckEntry func(path string) error
-	// SettingsVariable names the environment variable with the default settings file of
-	// the entry subcommand.
+	// SettingsVariable is the environment variable with the default path of the settings
+	// file of the entry subcommand.
 	SettingsVariable string
 	Version          string
 }
@@ -55,14 +56,14 @@
 // command is one subcommand.
 type command struct {
 	name      string // one or two words
-	arguments string // as shown in the usage
+	arguments string // names of the arguments in the usage text
 	summary   string
-	remote    bool // asks an entry host
-	// local is the number of arguments from which a remote command asks no entry host;
-	// 0: it always does.
-	local    int
-	min, max int // number of arguments
-	// setup declares flags and returns the work.
+	remote    bool // sends a request to an entry host
+	// With at least minLocalArguments arguments a remote command sends no request to an
+	// entry host; 0: it always sends one.
+	minLocalArguments          int
+	minArguments, maxArguments int // number of arguments
+	// setup declares the flags and returns the function that executes the command.
 	setup func(fs *flag.FlagSet) func(c *call) error
 }
 
@@ -75,7 +76,7 @@
 	json      bool
 }
 
-// commands is the table of all subcommands in the order of the usage.
+// commands returns all subcommands in the order of the usage text.
 func commands() []command {
 	return slices.Concat([]command{serveCommand, entryCommand}, configCommands, jobCommands, []command{
 		serviceListCommand, serviceShowCommand, hostListCommand, hostDrainCommand(false), hostDrainCommand(true),
@@ -83,7 +84,7 @@
 	})
 }
 
-// usageError is an error in the arguments.
+// usageError is an error in the arguments or flags.
 type usageError struct{ message string }
 
 func (e *usageError) Error() string { return e.message }
@@ -104,15 +105,16 @@
 			return execute(ctx, c, arguments[len(words):], e)
 		}
 	}
-	return unknown(arguments, e)
+	return reportUnknown(arguments, e)
 }
 
 func isHelp(word string) bool {
 	return word == "-h" || word == "-help" || word == "--help" || word == "help"
 }
 
-// unknown reports a subcommand that does not exist, or prints the overview of a group.
-func unknown(arguments []string, e Environment) int {
+// reportUnknown handles arguments that match no subcommand: the name of a group prints the
+// overview of the group, and anything else is a usage error.
+func reportUnknown(arguments []string, e Environment) int {
 	group := arguments[0]
 	var names []string
 	for _, c := range commands() {
@@ -122,7 +124,7 @@
 		}
 	}
 	if len(names) == 0 {
-		return fail(e, false, usagef("unknown subcommand %q; allowed: %s", group, strings.Join(firstWords(), ", ")))
+		return fail(e, false, usagef("unknown subcommand %q; allowed: %s", group, strings.Join(topLevelNames(), ", ")))
 	}
 	if len(arguments) == 1 || isHelp(arguments[1]) {
 		return printOverview(e, group, len(arguments) == 1)
@@ -130,7 +132,8 @@
 	return fail(e, false, usagef("unknown subcommand %q; allowed: %s %s", group+" "+arguments[1], group, strings.Join(names, ", ")))
 }
 
-func firstWords() []string {
+// topLevelNames returns the first words of all subcommands.
+func topLevelNames() []string {
 	var names []string
 	for _, c := range commands() {
 		first, _, _ := strings.Cut(c.name, " ")
@@ -141,15 +144,15 @@
 	return names
 }
 
-// printOverview lists the subcommands of a group, or all. missing says that the
-// arguments lack a subcommand.
+// printOverview lists the subcommands of a group, or all subcommands if group is empty.
+// missing means that the arguments lack a subcommand, which is a usage error.
 func printOverview(e Environment, group string, missing bool) int {
 	out, code := e.Stdout, ExitDone
 	if missing {
 		out, code = e.Stderr, ExitUsage
 	}
 	var b strings.Builder
-	b.WriteString("Usage: peridotpitch SUBCOMMAND [FLAGS] [ARGUMENTS]\n\nSubcommands (each explains itself with -h):\n")
+	b.WriteString("Usage: peridotpitch SUBCOMMAND [FLAGS] [ARGUMENTS]\n\nSubcommands (with -h, each shows its flags):\n")
 	for _, c := range commands() {
 		if first, _, _ := strings.Cut(c.name, " "); group == "" || first == group {
 			fmt.Fprintf(&b, "  %-16s %s\n", c.name, c.summary)
@@ -168,7 +171,7 @@
 	address, timeout := e.Getenv(addressVariable), defaultTimeout
 	if c.remote {
 		fs.StringVar(&address, "address", address, "AdminAddress of an entry host, `ip:port`; default from "+addressVariable)
-		durationFlag(fs, &timeout, "timeout", "`duration` that bounds the request")
+		durationFlag(fs, &timeout, "timeout", "maximum `duration` of the request")
 	}
 	work := c.setup(fs)
 	err := parse(fs, c, arguments, k)
@@ -176,7 +179,7 @@
 		printUsage(e.Stdout, c, fs)
 		return ExitDone
 	}
-	if err == nil && c.remote && (c.local == 0 || len(k.arguments) < c.local) {
+	if err == nil && c.remote && (c.minLocalArguments == 0 || len(k.arguments) < c.minLocalArguments) {
 		k.client, err = newClient(address, timeout)
 	}
 	if err == nil {
@@ -188,6 +191,7 @@
 	return ExitDone
 }
 
+// prefixUsage adds the name of the command and a reference to its help to a usage error.
 func prefixUsage(c command, err error) error {
 	var usage *usageError
 	if errors.As(err, &usage) {
@@ -196,7 +200,7 @@
 	return err
 }
 
-// parse accepts flags before, between and after the arguments.
+// parse reads flags and arguments. Flags may stand before, between and after arguments.
 func parse(fs *flag.FlagSet, c command, arguments []string, k *call) error {
 	for {
 		if err := fs.Parse(arguments); err != nil {
@@ -211,22 +215,22 @@
 		k.arguments = append(k.arguments, fs.Arg(0))
 		arguments = fs.Args()[1:]
 	}
-	if n := len(k.arguments); n < c.min {
-		return usagef("argument is missing; wanted: %s", c.arguments)
-	} else if n > c.max {
-		return usagef("argument %q is too many; wanted: %s", k.arguments[c.max], orNone(c.arguments))
+	if n := len(k.arguments); n < c.minArguments {
+		return usagef("argument is missing; expected: %s", c.arguments)
+	} else if n > c.maxArguments {
+		return usagef("unexpected argument %q; expected: %s", k.arguments[c.maxArguments], textOrNone(c.arguments))
 	}
 	return nil
 }
 
-func orNone(s string) string {
+func textOrNone(s string) string {
 	if s == "" {
 		return "none"
 	}
 	return s
 }
 
-// allowedFlags lists the flags if err is about one that does not exist.
+// allowedFlags returns the list of all flags if err is about an undefined flag.
 func allowedFlags(fs *flag.FlagSet, err error) string {
 	if !strings.HasPrefix(err.Error(), "flag provided but not defined") {
 		return ""
@@ -248,7 +252,7 @@
 
 func newClient(address string, timeout time.Duration) (*administrator.Client, error) {
 	if address == "" {
-		return nil, usagef("no entry host; set -address or %s to its AdminAddress", addressVariable)
+		return nil, usagef("no address; set -address or %s to the AdminAddress of an entry host", addressVariable)
 	}
 	a, err := netip.ParseAddrPort(address)
 	if err != nil {
--- a/internal/commandline/run_test.go
+++ b/internal/commandline/run_test.go
@@ -35,10 +35,11 @@
 	}})
 }
 
-// Guards against a subcommand whose output, errors or exit codes change unnoticed, or
-// whose errors do not name what is wrong and what is allowed. The command
-// "exits CODE COMMAND..." checks the exit code; "store up|down" switches the store.
-func TestSessions(t *testing.T) {
+// Guards against unintended changes of the output, errors and exit codes of subcommands,
+// and against errors that do not name the fault and the allowed values. In the scripts,
+// "exits CODE COMMAND..." runs a command and checks its exit code, and "store up|down"
+// makes the store available or unavailable.
+func TestOutputAndExitCodes(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:           "testdata",
 		UpdateScripts: os.Getenv("UPDATE_SESSIONS") != "",
@@ -81,8 +82,9 @@
 	})
 }
 
-// Guards against a key file that others can read, and against losing an existing one.
-func TestKeyFile(t *testing.T) {
+// Guards against accepting a key file that others can read, and against overwriting an
+// existing one.
+func TestKeyFileAccess(t *testing.T) {
 	path := t.TempDir() + "/key"
 	key := ed25519.NewKeyFromSeed(bytes.Repeat([]byte{1}, ed25519.SeedSize))
 	if err := writeKeyFile(path, key); err != nil {
@@ -112,9 +114,10 @@
 	// 0
 }
 
-// backend answers with fixed data; configurations go through a real publisher.
+// backend implements administrator.Backend with fixed data. Configurations are applied by
+// a real publisher with this backend as its store.
 type backend struct {
-	storer.Store // nil: the publisher calls only Get and CompareAndSwap for a few records
+	storer.Store // nil: with few records the publisher calls only Get and CompareAndSwap
 	publisher    *publisher.Publisher
 
 	mu      sync.Mutex
@@ -122,8 +125,8 @@
 	down    bool
 }
 
-// noon is the time of all events.
-var noon = time.Date(2026, 12, 3, 12, 0, 0, 0, time.UTC)
+// eventTime is the time of all events in the fixed data.
+var eventTime = time.Date(2026, 12, 3, 12, 0, 0, 0, time.UTC)
 
 func newBackend() *backend {
 	keys := configurator.Keys{}
@@ -131,7 +134,7 @@
 		keys[n] = ed25519.NewKeyFromSeed(bytes.Repeat([]byte{s}, ed25519.SeedSize)).Public().(ed25519.PublicKey)
 	}
 	b := &backend{entries: map[string]storer.Entry{}}
-	b.publisher = publisher.NewPublisher(b, keys, "sampaloc-1/process-1", func() time.Time { return noon })
+	b.publisher = publisher.NewPublisher(b, keys, "sampaloc-1/process-1", func() time.Time { return eventTime })
 	return b
 }
 
@@ -173,8 +176,8 @@
 	return b.publisher.History(ctx, limit)
 }
 
-// named returns an error for the names that stand for faults.
-func named(kind, name string) error {
+// errorForName returns an error for names that begin with missing, refused or lost.
+func errorForName(kind, name string) error {
 	switch {
 	case strings.HasPrefix(name, "missing"):
 		return &administrator.Error{Code: administrator.CodeNotFound, Message: fmt.Sprintf("%s %q does not exist", kind, name)}
@@ -188,17 +191,17 @@
 
 func job(name string) scheduler.JobStatus {
 	return scheduler.JobStatus{Spec: scheduler.JobSpec{Name: name, Class: "dents", Team: "schools"}, State: scheduler.JobPending,
-		Shard: "Sampaloc/1", Attempt: 1, Submitted: noon, Decision: "waits: no worker has 2 cores free"}
+		Shard: "Sampaloc/1", Attempt: 1, Submitted: eventTime, Decision: "waits: no worker has 2 cores free"}
 }
 func (b *backend) SubmitJob(_ context.Context, s scheduler.JobSpec) (scheduler.JobStatus, error) {
 	j := job(s.Name)
 	j.Spec = s
-	return j, named("job", s.Name)
+	return j, errorForName("job", s.Name)
 }
 func (b *backend) CancelJob(_ context.Context, name string) (scheduler.JobStatus, error) {
 	j := job(name)
-	j.State, j.Worker, j.Started, j.Decision = scheduler.JobCanceling, "sampaloc-w1", noon, "cancelled by an operator"
-	return j, named("job", name)
+	j.State, j.Worker, j.Started, j.Decision = scheduler.JobCanceling, "sampaloc-w1", eventTime, "cancelled by an operator"
+	return j, errorForName("job", name)
 }
 func (b *backend) ListJobs(_ context.Context, f administrator.JobFilter) ([]scheduler.JobStatus, error) {
 	if f.State != "" && f.State != scheduler.JobPending {
@@ -207,7 +210,7 @@
 	return []scheduler.JobStatus{job("trombone-17"), job("tuba-3")}[:min(2, f.Limit)], nil
 }
 func (b *backend) ShowJob(_ context.Context, name string) (scheduler.JobStatus, error) {
-	return job(name), named("job", name)
+	return job(name), errorForName("job", name)
 }
 func (b *backend) ListServices(ctx context.Context) ([]administrator.ServiceStatus, error) {
 	s, err := b.ShowService(ctx, "quotes")
@@ -215,7 +218,7 @@
 }
 func (b *backend) ShowService(_ context.Context, name string) (administrator.ServiceStatus, error) {
 	return administrator.ServiceStatus{Name: name, Class: "workshop", Wanted: map[string]int{"Sampaloc": 1, "Malolos": 1},
-		Instances: []messenger.Endpoint{{Instance: "quotes-1", FailureDomain: "Sampaloc", Worker: "sampaloc-w1", Address: "10.1.1.1:9001", Slots: 8, Connections: 64, Slowdown: 1.25}}}, named("service", name)
+		Instances: []messenger.Endpoint{{Instance: "quotes-1", FailureDomain: "Sampaloc", Worker: "sampaloc-w1", Address: "10.1.1.1:9001", Slots: 8, Connections: 64, Slowdown: 1.25}}}, errorForName("service", name)
 }
 func (b *backend) ListHosts(context.Context) ([]administrator.HostStatus, error) {
 	return []administrator.HostStatus{
@@ -224,9 +227,11 @@
 			Capacity: configurator.Resources{Cores: 32, Memory: 125e9}},
 	}, nil
 }
-func (b *backend) DrainHost(_ context.Context, host string, _ bool) error { return named("host", host) }
+func (b *backend) DrainHost(_ context.Context, host string, _ bool) error {
+	return errorForName("host", host)
+}
 func (b *backend) Explain(_ context.Context, id string) ([]messenger.ExplainAnswer, error) {
-	return []messenger.ExplainAnswer{{Host: "sampaloc-1", Records: []string{"decision=wait job=" + id + " rule=fit"}}}, named("identity", id)
+	return []messenger.ExplainAnswer{{Host: "sampaloc-1", Records: []string{"decision=wait job=" + id + " rule=fit"}}}, errorForName("identity", id)
 }
 func (b *backend) Status(ctx context.Context) (administrator.Status, error) {
 	hosts, err := b.ListHosts(ctx)
