--- a/internal/emulator/backend.go
+++ b/internal/emulator/backend.go
@@ -19,7 +19,7 @@
 const (
 	HeaderRequest   = "Peridot-Request"
 	HeaderAttempt   = "Peridot-Attempt"
-	HeaderDeadline  = "Peridot-Deadline" // milliseconds left
+	HeaderDeadline  = "Peridot-Deadline" // remaining time in milliseconds
 	HeaderSlotsUsed = "Peridot-Slots-Used"
 	HeaderNotRun    = "Peridot-Not-Run"
 )
@@ -30,18 +30,19 @@
 	DefaultConnections = 64
 	DefaultServiceTime = 5 * time.Millisecond
 	DefaultAnswerSize  = 512 // bytes of padding
-	// maxCounted bounds the identities whose executions are counted.
-	maxCounted = 1 << 20
+	// maxCountedIdentities limits the memory of Executions: the number of request
+	// identities, and of tokens, whose executions are counted.
+	maxCountedIdentities = 1 << 20
 )
 
-// TimeShape is the shape of the distribution of service times.
+// TimeShape is the probability distribution of service times.
 type TimeShape string
 
-// Shapes.
+// Distributions of service times.
 const (
 	ShapeFixed       TimeShape = "fixed"
 	ShapeExponential TimeShape = "exponential"
-	ShapeLogNormal   TimeShape = "lognormal" // median Mean/e^(1/8), sigma 0.5
+	ShapeLogNormal   TimeShape = "lognormal" // median ServiceTime/e^(1/8), sigma 0.5
 )
 
 const logNormalSigma = 0.5
@@ -60,22 +61,22 @@
 	Seed        uint64
 }
 
-// BackendCounts counts what a backend server saw.
+// BackendCounts counts the requests and connections of a backend server.
 type BackendCounts struct {
 	Requests, Run, NotRun, ConnectionsRefused int
 	MostRunning, MostConnections              int
-	AfterDeadline                             int // executions that ended after the deadline sent with the request
+	AfterDeadline                             int // executions that ended after the request's deadline
 }
 
 // Executions counts how often each request ran, by the identity that the entry host
-// gave it, and by the caller's own token (query argument "token") if there is one.
+// assigned to it, and by the caller's token (query argument "token") if it has one.
 type Executions struct {
 	mu        sync.Mutex // guards both maps
 	byRequest map[string]int
 	byToken   map[string]int
 }
 
-// NewExecutions returns an empty count.
+// NewExecutions returns an Executions without counts.
 func NewExecutions() *Executions {
 	return &Executions{byRequest: make(map[string]int), byToken: make(map[string]int)}
 }
@@ -83,22 +84,22 @@
 func (e *Executions) add(request, token string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(e.byRequest) < maxCounted {
+	if len(e.byRequest) < maxCountedIdentities {
 		e.byRequest[request]++
 	}
-	if token != "" && len(e.byToken) < maxCounted {
+	if token != "" && len(e.byToken) < maxCountedIdentities {
 		e.byToken[token]++
 	}
 }
 
-// Request returns how often the request with this identity ran.
-func (e *Executions) Request(identity string) int {
+// RequestCount returns how often the request with this identity ran.
+func (e *Executions) RequestCount(identity string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.byRequest[identity]
 }
 
-// Tokens returns how often each caller's token ran.
+// Tokens returns how often the request of each caller's token ran.
 func (e *Executions) Tokens() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -109,26 +110,27 @@
 	return out
 }
 
-// Backend is one instance of a service.
+// Backend is the backend server of one instance of a service.
 type Backend struct {
 	options BackendOptions
 	server  *server
 
-	mu       sync.Mutex // guards all fields below
-	rnd      *rand.Rand
-	running  int
-	conns    int
-	draining bool
-	slowdown float64
-	last     *finished
-	counts   BackendCounts
+	mu          sync.Mutex // guards all fields below
+	rng         *rand.Rand
+	running     int
+	connections int
+	draining    bool
+	slowdown    float64
+	lastAnswer  *completedAnswer
+	counts      BackendCounts
 }
 
-// finished is an answer kept to be sent to the wrong request.
-type finished struct{ request, attempt, body string }
+// completedAnswer is the answer to an earlier request. The fault WrongIdentity sends it to
+// another request.
+type completedAnswer struct{ request, attempt, body string }
 
-// NewBackend starts a backend server and returns it, its address and a function that
-// stops it.
+// NewBackend starts an emulated backend server and returns it, its address and a function
+// that stops it.
 func NewBackend(o BackendOptions) (*Backend, netip.AddrPort, func(), error) {
 	if o.Slots <= 0 {
 		o.Slots = DefaultSlots
@@ -150,16 +152,16 @@
 	if err != nil {
 		return nil, netip.AddrPort{}, nil, err
 	}
-	b := &Backend{options: o, rnd: rand.New(rand.NewPCG(o.Seed, 2)), slowdown: 1}
-	b.server = newServer(address, newFaultSwitch(o.Faults, o.Seed), b.control, b.handle)
-	b.server.start(&limitListener{Listener: l, backend: b})
+	b := &Backend{options: o, rng: rand.New(rand.NewPCG(o.Seed, 2)), slowdown: 1}
+	b.server = newServer(address, newFaultInjector(o.Faults, o.Seed), b.control, b.handle)
+	b.server.start(&connectionLimitListener{Listener: l, backend: b})
 	return b, address, b.server.stop, nil
 }
 
-// SetFaults replaces the fault switches.
+// SetFaults replaces the injected faults.
 func (b *Backend) SetFaults(f Faults) { b.server.faults.set(f) }
 
-// Executions returns the count of executions that this instance adds to.
+// Executions returns the counter to which this instance adds its executions.
 func (b *Backend) Executions() *Executions { return b.options.Executions }
 
 // Counts returns the counts so far.
@@ -220,36 +222,37 @@
 	attempt := string(ctx.Request.Header.Peek(HeaderAttempt))
 	token := string(ctx.QueryArgs().Peek("token"))
 	arrived := time.Now()
-	d, ok := b.begin()
+	d, ok := b.acquireSlot()
 	if !ok {
 		ctx.Error("not run: full or draining", fasthttp.StatusServiceUnavailable)
 		ctx.Response.Header.Set(HeaderNotRun, "true")
-		b.echo(ctx, request, attempt)
+		b.setEchoHeaders(ctx, request, attempt)
 		return
 	}
 	b.options.Executions.add(request, token)
 	if f := b.server.faults.get().SlowFactor; f > 0 {
 		d = time.Duration(float64(d) * f)
 	}
-	wait(d, nil, b.server.done)
-	a := finished{request, attempt, b.body(token, ctx.PostBody())}
-	late := afterDeadline(ctx, arrived)
-	if other := b.end(a, late); other != nil && b.server.faults.draw(b.server.faults.get().WrongIdentity) {
+	sleepUnlessClosed(d, nil, b.server.stopped)
+	a := completedAnswer{request, attempt, b.answerBody(token, ctx.PostBody())}
+	late := deadlinePassed(ctx, arrived)
+	if other := b.releaseSlot(a, late); other != nil && b.server.faults.draw(b.server.faults.get().WrongIdentity) {
 		a = *other
 	}
 	ctx.SetContentType("text/plain")
 	ctx.SetBodyString(a.body)
-	b.echo(ctx, a.request, a.attempt)
+	b.setEchoHeaders(ctx, a.request, a.attempt)
 }
 
-func (b *Backend) echo(ctx *fasthttp.RequestCtx, request, attempt string) {
+func (b *Backend) setEchoHeaders(ctx *fasthttp.RequestCtx, request, attempt string) {
 	ctx.Response.Header.Set(HeaderRequest, request)
 	ctx.Response.Header.Set(HeaderAttempt, attempt)
 	ctx.Response.Header.Set(HeaderSlotsUsed, strconv.Itoa(b.InFlight()))
 }
 
-// begin takes a slot and draws the service time.
-func (b *Backend) begin() (time.Duration, bool) {
+// acquireSlot occupies a slot and draws the service time. It reports false if the instance
+// is draining or has no free slot.
+func (b *Backend) acquireSlot() (time.Duration, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.counts.Requests++
@@ -263,34 +266,35 @@
 	x := 1.0
 	switch b.options.Shape {
 	case ShapeExponential:
-		x = b.rnd.ExpFloat64()
+		x = b.rng.ExpFloat64()
 	case ShapeLogNormal:
-		x = math.Exp(logNormalSigma*b.rnd.NormFloat64() - logNormalSigma*logNormalSigma/2)
+		x = math.Exp(logNormalSigma*b.rng.NormFloat64() - logNormalSigma*logNormalSigma/2)
 	}
 	return time.Duration(x * b.slowdown * float64(b.options.ServiceTime)), true
 }
 
-// end frees the slot and returns the answer of another request, if there was one.
-func (b *Backend) end(a finished, late bool) *finished {
+// releaseSlot frees the slot, stores a as the last answer and returns the answer before it,
+// or nil.
+func (b *Backend) releaseSlot(a completedAnswer, late bool) *completedAnswer {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.running--
 	if late {
 		b.counts.AfterDeadline++
 	}
-	other := b.last
-	b.last = &a
+	other := b.lastAnswer
+	b.lastAnswer = &a
 	return other
 }
 
-func afterDeadline(ctx *fasthttp.RequestCtx, arrived time.Time) bool {
+func deadlinePassed(ctx *fasthttp.RequestCtx, arrived time.Time) bool {
 	ms, err := strconv.ParseInt(string(ctx.Request.Header.Peek(HeaderDeadline)), 10, 64)
 	return err == nil && time.Since(arrived) > time.Duration(ms)*time.Millisecond
 }
 
-// body returns an answer from which a caller can see that it is whole and its own: the
-// caller's token, a hash of the request's body, padding, and a hash of all of that.
-func (b *Backend) body(token string, request []byte) string {
+// answerBody returns a body that CheckBody can verify: the caller's token, a hash of the
+// request's body, padding, and a checksum of these.
+func (b *Backend) answerBody(token string, request []byte) string {
 	var s strings.Builder
 	fmt.Fprintf(&s, "token=%s\nservice=%s\nrequest=%016x\n", token, b.options.Service, xxhash.Sum64(request))
 	s.WriteString(strings.Repeat(".", b.options.AnswerSize))
@@ -299,16 +303,16 @@
 	return s.String()
 }
 
-// CheckBody reports what is wrong with an answer of a Backend to a request with this
-// token and body; nil if it is whole and its own.
+// CheckBody returns an error unless answer is a complete, undamaged answer of a Backend to
+// the request with this token and body.
 func CheckBody(answer []byte, token string, request []byte) error {
 	text := string(answer)
 	at := strings.LastIndex(text, "sum=")
 	if at < 0 {
-		return fmt.Errorf("answer of %d bytes is cut: it has no sum", len(answer))
+		return fmt.Errorf("answer of %d bytes is truncated: it has no checksum", len(answer))
 	}
 	if want := fmt.Sprintf("sum=%016x\n", xxhash.Sum64String(text[:at])); text[at:] != want {
-		return fmt.Errorf("answer of %d bytes is damaged: its sum is wrong", len(answer))
+		return fmt.Errorf("answer of %d bytes is corrupt: its checksum does not match", len(answer))
 	}
 	lines := strings.SplitN(text, "\n", 4)
 	if got := strings.TrimPrefix(lines[0], "token="); got != token {
@@ -320,47 +324,49 @@
 	return nil
 }
 
-// limitListener closes connections over the instance's limit as they arrive.
-type limitListener struct {
+// connectionLimitListener closes new connections while the instance has as many as its
+// limit allows.
+type connectionLimitListener struct {
 	net.Listener
 	backend *Backend
 }
 
-func (l *limitListener) Accept() (net.Conn, error) {
+func (l *connectionLimitListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if l.backend.openConn() {
-			return &limitedConn{Conn: c, backend: l.backend}, nil
+		if l.backend.acquireConnection() {
+			return &countedConn{Conn: c, backend: l.backend}, nil
 		}
 		_ = c.Close()
 	}
 }
 
-func (b *Backend) openConn() bool {
+func (b *Backend) acquireConnection() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.conns >= b.options.Connections {
+	if b.connections >= b.options.Connections {
 		b.counts.ConnectionsRefused++
 		return false
 	}
-	b.conns++
-	b.counts.MostConnections = max(b.counts.MostConnections, b.conns)
+	b.connections++
+	b.counts.MostConnections = max(b.counts.MostConnections, b.connections)
 	return true
 }
 
-type limitedConn struct {
+// countedConn frees its place in the connection limit when it is closed.
+type countedConn struct {
 	net.Conn
 	backend *Backend
 	once    sync.Once
 }
 
-func (c *limitedConn) Close() error {
+func (c *countedConn) Close() error {
 	c.once.Do(func() {
 		c.backend.mu.Lock()
-		c.backend.conns--
+		c.backend.connections--
 		c.backend.mu.Unlock()
 	})
 	return c.Conn.Close()
--- a/internal/emulator/backend_test.go
+++ b/internal/emulator/backend_test.go
@@ -15,8 +15,9 @@
 	"peridotpitch/internal/configurator"
 )
 
-// send sends one request and returns status, echoed identity and the "not run" header.
-func send(t *testing.T, a netip.AddrPort, identity string) (int, string, bool) {
+// sendRequest sends one request and returns the status, the echoed request identity and
+// whether the header "not run" is set. The status is 0 if there is no complete answer.
+func sendRequest(t *testing.T, a netip.AddrPort, identity string) (int, string, bool) {
 	t.Helper()
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -30,66 +31,68 @@
 	return resp.StatusCode(), string(resp.Header.Peek(HeaderRequest)), string(resp.Header.Peek(HeaderNotRun)) == "true"
 }
 
-// Guards against an instance that runs a request which it says it did not run, or more
+// Guards against an instance that runs a request which it answers with "not run", or more
 // requests than it has slots.
-func TestFullAndDrainingInstances(t *testing.T) {
+func TestFullOrDrainingInstanceDoesNotRun(t *testing.T) {
 	is := is.New(t)
 	b, a, stop, err := NewBackend(BackendOptions{Slots: 1, ServiceTime: time.Hour, Shape: ShapeFixed})
 	is.NoErr(err)
-	go func() { _, _, _ = send(t, a, "r1") }()
+	go func() { _, _, _ = sendRequest(t, a, "r1") }()
 	for b.InFlight() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	status, identity, notRun := send(t, a, "r2")
+	status, identity, notRun := sendRequest(t, a, "r2")
 	is.Equal(status, http.StatusServiceUnavailable)
 	is.Equal(identity, "r2")
 	is.True(notRun)
-	is.Equal(b.Executions().Request("r2"), 0)
-	is.Equal(b.Executions().Request("r1"), 1)
+	is.Equal(b.Executions().RequestCount("r2"), 0)
+	is.Equal(b.Executions().RequestCount("r1"), 1)
 	is.Equal(b.Counts().MostRunning, 1)
-	stop() // ends the hour
+	stop() // ends the request that takes an hour
 
 	b, a, stop, err = NewBackend(BackendOptions{})
 	is.NoErr(err)
 	defer stop()
 	b.Drain()
-	_, _, notRun = send(t, a, "r3")
+	_, _, notRun = sendRequest(t, a, "r3")
 	is.True(notRun)
 }
 
-// Guards against a fault switch without effect: a test of it would show nothing.
-func TestBackendFaults(t *testing.T) {
+// Guards against a fault without effect: tests that inject it would pass without testing
+// anything.
+func TestBackendFaultsTakeEffect(t *testing.T) {
 	is := is.New(t)
 	b, a, stop, err := NewBackend(BackendOptions{ServiceTime: time.Millisecond})
 	is.NoErr(err)
 	defer stop()
-	_, _, _ = send(t, a, "first")
+	_, _, _ = sendRequest(t, a, "first")
 	b.SetFaults(Faults{WrongIdentity: 1})
-	_, identity, _ := send(t, a, "r1")
+	_, identity, _ := sendRequest(t, a, "r1")
 	is.Equal(identity, "first")
 	for name, f := range map[string]Faults{"half": {HalfAnswers: 1}, "lost": {LoseAnswers: 1}} {
 		b.SetFaults(f)
-		status, _, _ := send(t, a, name)
-		is.Equal(status, 0)                        // no whole answer
-		is.True(b.Executions().Request(name) >= 1) // and yet it ran
+		status, _, _ := sendRequest(t, a, name)
+		is.Equal(status, 0)                             // no complete answer
+		is.True(b.Executions().RequestCount(name) >= 1) // the request still ran
 	}
 	b.SetFaults(Faults{Down: true})
-	status, _, notRun := send(t, a, "r2")
+	status, _, notRun := sendRequest(t, a, "r2")
 	is.Equal(status, http.StatusServiceUnavailable)
 	is.True(!notRun)
 	b.SetFaults(Faults{})
 	start := time.Now()
 	b.SetFaults(Faults{LateAnswers: 1, LateBy: 200 * time.Millisecond})
-	_, identity, _ = send(t, a, "r3")
+	_, identity, _ = sendRequest(t, a, "r3")
 	is.Equal(identity, "r3")
 	is.True(time.Since(start) >= 200*time.Millisecond)
 }
 
-// Guards against an instance that outlives its task, or stops under a running request.
+// Guards against an instance that keeps running after its task has stopped, or that stops
+// while it runs a request.
 func TestServiceTaskDrainsItsInstance(t *testing.T) {
 	is := is.New(t)
 	w, _, stop, err := NewWorker(WorkerOptions{
-		MachineOptions: MachineOptions{Name: "w1", Capacity: small},
+		MachineOptions: MachineOptions{Name: "w1", Capacity: smallCapacity},
 		Backend:        BackendOptions{ServiceTime: 300 * time.Millisecond, Shape: ShapeFixed},
 	})
 	is.NoErr(err)
@@ -99,20 +102,20 @@
 		Declared: configurator.Resources{Cores: 1}, LeaseEnd: time.Hour,
 	}
 	is.True(w.Apply(1, "e1", []commander.Command{start}).Results[0].Done)
-	a := netip.MustParseAddrPort(state(w.Machine, "q").Address)
+	a := netip.MustParseAddrPort(reportOf(w.Machine, "q").Address)
 	done := make(chan int)
 	go func() {
-		status, _, _ := send(t, a, "r1")
+		status, _, _ := sendRequest(t, a, "r1")
 		done <- status
 	}()
 	for w.Backends()[0].InFlight() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	w.Apply(1, "e1", []commander.Command{{Verb: commander.VerbStop, Task: "q", Attempt: 1, Grace: time.Minute}})
-	_, _, notRun := send(t, a, "r2")
+	_, _, notRun := sendRequest(t, a, "r2")
 	is.True(notRun)
 	is.Equal(<-done, http.StatusOK)
-	for state(w.Machine, "q").State != commander.TaskStopped {
+	for reportOf(w.Machine, "q").State != commander.TaskStopped {
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -124,7 +127,7 @@
 		return
 	}
 	defer stop()
-	p.SetFaults(Faults{LoseAnswers: 1}) // each write takes effect, and its answer is lost
+	p.SetFaults(Faults{LoseAnswers: 1}) // each write over HTTP takes effect, but its answer is lost
 	ok, _, err := p.CompareAndSwap(context.Background(), "k", 0, []byte("v"))
 	fmt.Println(ok, err, p.Counts().Writes())
 	// Output: true <nil> 1
--- a/internal/emulator/interference.go
+++ b/internal/emulator/interference.go
@@ -9,56 +9,58 @@
 )
 
 const (
-	// DefaultStrength is the upper bound of the coefficients in the hidden matrix: a
-	// full machine of the worst neighbours then slows a task by a factor of about 3.
+	// DefaultStrength is the upper bound of the interference coefficients. A machine full
+	// of neighbours with a coefficient of 1 slows a task by a factor of about 3.
 	DefaultStrength = 1.0
-	// usageSpread is how far used sizes are from declared ones, as a share: declared
-	// sizes are very inaccurate, but most are over the use.
-	usageLow, usageHigh = 0.4, 1.3
-	// measureNoise is the relative error of measured slowdowns.
-	measureNoise = 0.05
+	// minUsageRatio and maxUsageRatio bound used size divided by declared size: declared
+	// sizes are very inaccurate, but most exceed the usage.
+	minUsageRatio, maxUsageRatio = 0.4, 1.3
+	// maxMeasurementError is the largest relative error of measured slowdowns.
+	maxMeasurementError = 0.05
 )
 
-// Interference is the hidden rule by which tasks slow each other. It is a function of
-// the seed, so that runs repeat.
+// Interference is the model of how tasks on a machine slow each other; the product does
+// not know its coefficients. They depend only on the seed, so that runs are reproducible.
 type Interference struct {
-	seed     uint64
-	strength float64
-	pairs    map[[2]string]float64
+	seed           uint64
+	maxCoefficient float64
+	pairs          map[[2]string]float64
 }
 
-// NewInterference returns a rule whose coefficients are drawn from 0 to strength.
-func NewInterference(seed uint64, strength float64) *Interference {
-	return &Interference{seed: seed, strength: strength, pairs: make(map[[2]string]float64)}
+// NewInterference returns a model whose coefficients are between 0 and maxCoefficient.
+func NewInterference(seed uint64, maxCoefficient float64) *Interference {
+	return &Interference{seed: seed, maxCoefficient: maxCoefficient, pairs: make(map[[2]string]float64)}
 }
 
-// Set fixes the coefficient by which other slows class. It is called before use.
+// Set sets the coefficient by which other slows class. It must not be called after a
+// machine uses the model.
 func (i *Interference) Set(class, other string, coefficient float64) {
 	i.pairs[[2]string{class, other}] = coefficient
 }
 
-// Coefficient returns how much other slows class: the slowdown, less 1, that a machine
-// full of other would cause at low total load.
+// Coefficient returns how much other slows class: the slowdown minus 1 that tasks of other
+// on all cores of the machine would cause at low total load.
 func (i *Interference) Coefficient(class, other string) float64 {
 	if c, ok := i.pairs[[2]string{class, other}]; ok {
 		return c
 	}
-	return i.strength * i.unit("pair", class, other)
+	return i.maxCoefficient * i.uniform("pair", class, other)
 }
 
-// unit returns a number from 0 to 1 that depends on the seed and the words.
-func (i *Interference) unit(words ...string) float64 {
+// uniform returns a number from 0 to 1 that is a hash of the seed and the words.
+func (i *Interference) uniform(words ...string) float64 {
 	h := xxhash.Sum64String(fmt.Sprintf("%d %q", i.seed, words))
 	return float64(h>>11) / (1 << 53)
 }
 
-// usage returns used size divided by declared size of a task.
-func (i *Interference) usage(name string) float64 {
-	return usageLow + (usageHigh-usageLow)*i.unit("usage", name)
+// usageRatio returns the used size of a task divided by its declared size.
+func (i *Interference) usageRatio(name string) float64 {
+	return minUsageRatio + (maxUsageRatio-minUsageRatio)*i.uniform("usage", name)
 }
 
-// slowdown returns the run time of class per unit of work, relative to an empty machine.
-// It grows with the square of the total load, and above full load with the shortage.
+// slowdown returns the run time of a task of class per unit of work, relative to a machine
+// without other tasks. The effect of neighbours grows with the square of the total load;
+// above full load the slowdown is also multiplied by the load.
 func (i *Interference) slowdown(class string, others iter.Seq2[string, float64], total, capacity float64) float64 {
 	if capacity <= 0 {
 		return 1
@@ -71,7 +73,8 @@
 	return s * max(1, load)
 }
 
-// measured adds the error of measurement.
-func (i *Interference) measured(slowdown float64, name string, at time.Duration) float64 {
-	return slowdown * (1 + measureNoise*(2*i.unit("noise", name, at.String())-1))
+// withMeasurementError returns slowdown with a measurement error that depends on the task's
+// name and the time.
+func (i *Interference) withMeasurementError(slowdown float64, name string, at time.Duration) float64 {
+	return slowdown * (1 + maxMeasurementError*(2*i.uniform("noise", name, at.String())-1))
 }
--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -10,8 +10,8 @@
 	"peridotpitch/internal/commander"
 )
 
-// Run is one execution of a task on a machine. Times are of the wall clock, so that the
-// runs of several processes of one host can be compared.
+// Run is one execution of a task on a machine. Its times are wall-clock times, so that
+// runs recorded by several processes on one host can be compared.
 type Run struct {
 	Task      string
 	Attempt   int
@@ -20,14 +20,14 @@
 	Started   time.Time
 	Ended     time.Time // zero while it runs
 	State     commander.TaskState
-	FromWork  time.Duration // work done before this run, from the checkpoint
-	ToWork    time.Duration // work done at its end
-	SavedWork string        // last complete checkpoint at its end
+	FromWork  time.Duration // work of earlier runs, restored from the checkpoint
+	ToWork    time.Duration // work done when the run ended, including FromWork
+	SavedWork string        // last complete checkpoint when the run ended
 }
 
-// Ledger records all runs on the machines that share it.
+// Ledger records the runs of all machines that share it.
 type Ledger struct {
-	mu       sync.Mutex // guards all fields and what runs point to
+	mu       sync.Mutex // guards all fields and the elements of runs
 	runs     []*Run
 	machines []*Machine
 }
@@ -41,21 +41,21 @@
 	l.machines = append(l.machines, m)
 }
 
-func (l *Ledger) started(worker string, c commander.Command, from time.Duration, at time.Time) *Run {
-	r := &Run{Task: c.Task, Attempt: c.Attempt, Kind: c.Kind, Worker: worker, Started: at, FromWork: from}
+func (l *Ledger) recordStart(worker string, c commander.Command, fromWork time.Duration, at time.Time) *Run {
+	r := &Run{Task: c.Task, Attempt: c.Attempt, Kind: c.Kind, Worker: worker, Started: at, FromWork: fromWork}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs = append(l.runs, r)
 	return r
 }
 
-func (l *Ledger) ended(r *Run, state commander.TaskState, work time.Duration, saved string, at time.Time) {
+func (l *Ledger) recordEnd(r *Run, state commander.TaskState, work time.Duration, checkpoint string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r.Ended, r.State, r.ToWork, r.SavedWork = at, state, work, saved
+	r.Ended, r.State, r.ToWork, r.SavedWork = at, state, work, checkpoint
 }
 
-// Runs brings the machines up to the present and returns a copy of all runs so far.
+// Runs advances the machines to the current time and returns a copy of all runs so far.
 func (l *Ledger) Runs() []Run {
 	l.mu.Lock()
 	machines := slices.Clone(l.machines)
@@ -72,8 +72,9 @@
 	return rs
 }
 
-// Violations returns in words each case in which the runs break a guarantee: a batch
-// task in two places at once, an attempt run twice, or a finished task run again.
+// Violations describes each case in which the runs violate a guarantee: a batch task that
+// runs twice at the same time, an attempt that runs twice, or a finished task that runs
+// again.
 func Violations(runs []Run, now time.Time) []string {
 	byTask := make(map[string][]Run)
 	for _, r := range runs {
@@ -85,27 +86,27 @@
 	for _, rs := range byTask {
 		slices.SortFunc(rs, func(a, b Run) int { return a.Started.Compare(b.Started) })
 		for i := 1; i < len(rs); i++ {
-			out = append(out, compareRuns(rs[:i], rs[i], now)...)
+			out = append(out, checkRun(rs[:i], rs[i], now)...)
 		}
 	}
 	slices.SortFunc(out, cmp.Compare[string])
 	return out
 }
 
-// compareRuns checks r against the runs of the same task that started before it.
-func compareRuns(before []Run, r Run, now time.Time) []string {
+// checkRun compares r with the earlier runs of the same task.
+func checkRun(earlier []Run, r Run, now time.Time) []string {
 	var out []string
-	for _, b := range before {
+	for _, b := range earlier {
 		end := b.Ended
 		if end.IsZero() {
 			end = now
 		}
 		if r.Started.Before(end) {
-			out = append(out, fmt.Sprintf("task %s ran in two places: attempt %d on %s until %s, attempt %d on %s from %s",
+			out = append(out, fmt.Sprintf("task %s ran twice at the same time: attempt %d on %s until %s, attempt %d on %s from %s",
 				r.Task, b.Attempt, b.Worker, end.Format(time.StampMilli), r.Attempt, r.Worker, r.Started.Format(time.StampMilli)))
 		}
 		if b.Attempt == r.Attempt {
-			out = append(out, fmt.Sprintf("attempt %d of task %s ran on %s and on %s", r.Attempt, r.Task, b.Worker, r.Worker))
+			out = append(out, fmt.Sprintf("attempt %d of task %s ran twice: on %s and on %s", r.Attempt, r.Task, b.Worker, r.Worker))
 		}
 		if b.State == commander.TaskFinished {
 			out = append(out, fmt.Sprintf("task %s ran again on %s after it had finished on %s", r.Task, r.Worker, b.Worker))
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -15,28 +15,28 @@
 
 // Defaults of MachineOptions.
 const (
-	DefaultReportLag      = 500 * time.Millisecond
-	DefaultSampleEvery    = 100 * time.Millisecond
-	DefaultStartTime      = 20 * time.Millisecond
-	DefaultCheckpointTime = 50 * time.Millisecond
-	DefaultServiceKeep    = 10 * time.Minute
+	DefaultReportLag         = 500 * time.Millisecond
+	DefaultSampleInterval    = 100 * time.Millisecond
+	DefaultStartTime         = 20 * time.Millisecond
+	DefaultCheckpointTime    = 50 * time.Millisecond
+	DefaultServiceLeaseGrace = 10 * time.Minute
 )
 
 // MachineOptions configures a Machine. Zero fields take the defaults.
 type MachineOptions struct {
-	Name           string
-	Incarnation    string // default: derived from the name and the start time
-	Capacity       configurator.Resources
-	ReportLag      time.Duration // age of the usage figures in reports
-	SampleEvery    time.Duration // interval between measurements of usage
-	StartTime      time.Duration // from Start to running
-	CheckpointTime time.Duration
-	ServiceKeep    time.Duration // a service task runs on for this time after its lease ended
-	Interference   *Interference // default: NewInterference(Seed, DefaultStrength)
-	Ledger         *Ledger       // shared by the machines of a test; default: its own
-	Launch         Launcher      // opens instances; nil: service tasks have no address
-	Faults         Faults
-	Seed           uint64
+	Name              string
+	Incarnation       string // default: derived from the name and the start time
+	Capacity          configurator.Resources
+	ReportLag         time.Duration // age of the usage figures in reports
+	SampleInterval    time.Duration // interval between measurements of usage
+	StartTime         time.Duration // from the Start command until the task runs
+	CheckpointTime    time.Duration // duration of a checkpoint
+	ServiceLeaseGrace time.Duration // how long a service task keeps running after its lease has ended
+	Interference      *Interference // default: NewInterference(Seed, DefaultStrength)
+	Ledger            *Ledger       // shared by the machines of a test; default: its own
+	Launch            Launcher      // starts instances; nil: service tasks have no address
+	Faults            Faults
+	Seed              uint64
 }
 
 // Instance is the backend server of a service task.
@@ -44,96 +44,96 @@
 	Address() string
 	Load() float64 // running requests divided by slots
 	SetSlowdown(factor float64)
-	Drain() // answer new requests "not run"
+	Drain() // answers new requests with "not run" from now on
 	InFlight() int
 	Stop() // returns at once
 }
 
-// Launcher opens an instance for a service task. The address that it listens on is
-// chosen by it.
+// Launcher starts an instance for a service task on an address that it chooses.
 type Launcher func(c commander.Command) (Instance, error)
 
-// MachineCounts counts what a machine was told. The fields from Overcommits on are
-// signs of a fault in the product.
+// MachineCounts counts the calls, commands and task events of a machine. The fields from
+// Overcommits on count violations of what the product guarantees.
 type MachineCounts struct {
 	Fences, Reports, Applies, Commands int
 	Started, Finished, Failed, Stopped int
 	Checkpoints, Throttles             int
 	LeasesEnded                        int // tasks stopped because their lease ended
-	RefusedEpochs                      int // calls with an epoch lower than accepted
-	RefusedLate                        int // commands after NotAfter
+	RefusedEpochs                      int // calls with an epoch lower than the accepted one
+	RefusedLate                        int // commands that arrived after NotAfter
 	RefusedIncarnations                int // commands for another process of the worker
-	RepeatedStarts                     int // Start of an attempt that is listed: answered without effect
+	RepeatedStarts                     int // Start commands without effect, because the attempt is already listed
 
-	Overcommits    int // starts after which declared sizes exceed the capacity
-	DoubleStarts   int // starts of a task that was active, or of an attempt that had run before
-	EpochConflicts int // two owners with the same epoch
+	Overcommits    int // starts after which the declared sizes exceed the capacity
+	DoubleStarts   int // starts of an active task, or of an attempt that has run before
+	EpochConflicts int // calls with the accepted epoch from another owner
 }
 
-// Machine is a worker without a network. Its state is advanced when it is called: between
-// two events (a start, an end, a checkpoint) each task runs at a constant rate.
+// Machine emulates a worker, without a network. Each call first advances its state to the
+// current time. Between two events (a start, an end, a checkpoint) each task runs at a
+// constant rate.
 type Machine struct {
-	options MachineOptions
-	start   time.Time
-	faults  *faultSwitch
-
-	mu      sync.Mutex // guards all fields below
-	clock   commander.WorkerTime
-	epoch   uint64
-	owner   string
-	leaving bool
-	tasks   []*task // in order of their start
-	ran     map[string]bool
-	counts  MachineCounts
-	sampled commander.WorkerTime
-	frozen  *commander.Report
+	options   MachineOptions
+	startedAt time.Time
+	faults    *faultInjector
+
+	mu              sync.Mutex // guards all fields below
+	clock           commander.WorkerTime
+	epoch           uint64
+	owner           string
+	leaving         bool
+	tasks           []*task // in the order of their start; ended tasks stay until a Forget command
+	startedAttempts map[string]bool
+	counts          MachineCounts
+	lastSampleAt    commander.WorkerTime
+	lastReport      *commander.Report
 }
 
 // task is one attempt of a task on the machine.
 type task struct {
 	commander.Command
-	state      commander.TaskState
-	until      commander.WorkerTime // end of starting or checkpointing
-	progress   time.Duration        // work done
-	saved      time.Duration        // work done at the checkpoint being taken
-	checkpoint string
-	throttle   float64
-	leaseEnd   commander.WorkerTime
-	stopReason string               // stop when the checkpoint is complete
-	killAt     commander.WorkerTime // stop at the latest; 0: never
-	draining   bool                 // a stopping service instance
-	reason     string
-	factor     float64 // used divided by declared size
-	instance   Instance
-	samples    []sample
-	run        *Run
-}
-
-// sample is one measurement of a task.
+	state              commander.TaskState
+	phaseEnd           commander.WorkerTime // end of the state starting or checkpointing
+	progress           time.Duration        // work done so far
+	checkpointProgress time.Duration        // work covered by the checkpoint in progress
+	checkpoint         string
+	throttle           float64
+	leaseEnd           commander.WorkerTime
+	stopReason         string               // if set, the task stops when its checkpoint is complete
+	stopDeadline       commander.WorkerTime // the task is killed at this time; 0: no deadline
+	draining           bool                 // a service instance that stops once its requests have ended
+	reason             string
+	usageRatio         float64 // used size divided by declared size
+	instance           Instance
+	samples            []sample
+	run                *Run
+}
+
+// sample is one measurement of a task's usage and slowdown.
 type sample struct {
 	at       commander.WorkerTime
 	used     configurator.Resources
 	slowdown float64
 }
 
-// NewMachine returns a machine that starts now.
+// NewMachine returns a machine whose clock starts at the current time.
 func NewMachine(o MachineOptions) *Machine {
 	start := time.Now()
 	if o.Incarnation == "" {
 		o.Incarnation = fmt.Sprintf("%s-%d", o.Name, start.UnixNano())
 	}
 	setDefault(&o.ReportLag, DefaultReportLag)
-	setDefault(&o.SampleEvery, DefaultSampleEvery)
+	setDefault(&o.SampleInterval, DefaultSampleInterval)
 	setDefault(&o.StartTime, DefaultStartTime)
 	setDefault(&o.CheckpointTime, DefaultCheckpointTime)
-	setDefault(&o.ServiceKeep, DefaultServiceKeep)
+	setDefault(&o.ServiceLeaseGrace, DefaultServiceLeaseGrace)
 	if o.Interference == nil {
 		o.Interference = NewInterference(o.Seed, DefaultStrength)
 	}
 	if o.Ledger == nil {
 		o.Ledger = NewLedger()
 	}
-	m := &Machine{options: o, start: start, faults: newFaultSwitch(o.Faults, o.Seed), ran: make(map[string]bool)}
+	m := &Machine{options: o, startedAt: start, faults: newFaultInjector(o.Faults, o.Seed), startedAttempts: make(map[string]bool)}
 	o.Ledger.register(m)
 	return m
 }
@@ -147,59 +147,59 @@
 // Name returns the machine's name.
 func (m *Machine) Name() string { return m.options.Name }
 
-// SetFaults replaces the fault switches.
+// SetFaults replaces the injected faults.
 func (m *Machine) SetFaults(f Faults) { m.faults.set(f) }
 
-// SetLeaving sets the report's Leaving field.
+// SetLeaving sets the field Leaving of the machine's reports.
 func (m *Machine) SetLeaving(leaving bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.leaving = leaving
 }
 
-// Advance brings the machine's state up to the present, as every call does.
+// Advance advances the machine's state to the current time, as every call does.
 func (m *Machine) Advance() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.advance()
+	m.advanceLocked()
 }
 
 // Counts returns the counts so far.
 func (m *Machine) Counts() MachineCounts {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.advance()
+	m.advanceLocked()
 	return m.counts
 }
 
-// Fence accepts the epoch unless a higher one was accepted.
+// Fence accepts the epoch unless the machine has accepted a higher one.
 func (m *Machine) Fence(epoch uint64, owner string) commander.FenceAnswer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.advance()
+	m.advanceLocked()
 	m.counts.Fences++
-	ok := m.acceptLocked(epoch, owner)
+	ok := m.acceptEpochLocked(epoch, owner)
 	return commander.FenceAnswer{Accepted: ok, Epoch: m.epoch, Report: m.reportLocked()}
 }
 
-// Report returns the inventory.
+// Report returns the machine's state and its tasks.
 func (m *Machine) Report() commander.Report {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.advance()
+	m.advanceLocked()
 	m.counts.Reports++
 	return m.reportLocked()
 }
 
-// Apply executes commands in order. Renewals of service tasks are accepted from any
-// owner and epoch, because a duplicate instance does no harm; other commands only if no
-// higher epoch was accepted.
+// Apply executes commands in order. It accepts renewals of service tasks from any owner and
+// epoch, because a duplicate instance does no harm, and other commands only if the
+// machine has not accepted a higher epoch.
 func (m *Machine) Apply(epoch uint64, owner string, commands []commander.Command) commander.ApplyAnswer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.advance()
+	m.advanceLocked()
 	m.counts.Applies++
-	if !onlyServiceRenewals(commands) && !m.acceptLocked(epoch, owner) {
+	if !onlyServiceRenewals(commands) && !m.acceptEpochLocked(epoch, owner) {
 		return commander.ApplyAnswer{Epoch: m.epoch}
 	}
 	a := commander.ApplyAnswer{Accepted: true, Epoch: m.epoch, Results: make([]commander.Result, 0, len(commands))}
@@ -208,7 +208,7 @@
 		reason := m.applyLocked(c)
 		a.Results = append(a.Results, commander.Result{Task: c.Task, Done: reason == "", Reason: reason})
 	}
-	m.advance()
+	m.advanceLocked()
 	return a
 }
 
@@ -218,7 +218,9 @@
 	})
 }
 
-func (m *Machine) acceptLocked(epoch uint64, owner string) bool {
+// acceptEpochLocked accepts the epoch and owner, or reports false if the epoch is lower than
+// the accepted one.
+func (m *Machine) acceptEpochLocked(epoch uint64, owner string) bool {
 	if epoch < m.epoch {
 		m.counts.RefusedEpochs++
 		return false
@@ -230,7 +232,7 @@
 	return true
 }
 
-// applyLocked executes one command and returns why it did not, or "".
+// applyLocked executes one command. It returns the reason if it refuses the command, or "".
 func (m *Machine) applyLocked(c commander.Command) string {
 	if c.Incarnation != "" && c.Incarnation != m.options.Incarnation {
 		m.counts.RefusedIncarnations++
@@ -243,12 +245,12 @@
 	if c.Verb == commander.VerbStart {
 		return m.startLocked(c)
 	}
-	t := m.find(c.Task, c.Attempt)
+	t := m.findTask(c.Task, c.Attempt)
 	if t == nil {
 		return "no such task and attempt"
 	}
 	if c.Verb == commander.VerbForget {
-		return m.forgetLocked(t)
+		return m.removeEndedLocked(t)
 	}
 	if !t.state.Active() {
 		return fmt.Sprintf("task is %s", t.state)
@@ -271,7 +273,7 @@
 
 func attemptKey(name string, attempt int) string { return fmt.Sprintf("%s#%d", name, attempt) }
 
-func (m *Machine) find(name string, attempt int) *task {
+func (m *Machine) findTask(name string, attempt int) *task {
 	for _, t := range m.tasks {
 		if t.Task == name && t.Attempt == attempt {
 			return t
@@ -280,11 +282,12 @@
 	return nil
 }
 
+// startLocked starts a task. It returns the reason if it refuses the command, or "".
 func (m *Machine) startLocked(c commander.Command) string {
 	if c.LeaseEnd <= m.clock {
 		return fmt.Sprintf("lease ended %s ago", m.clock-c.LeaseEnd)
 	}
-	if t := m.find(c.Task, c.Attempt); t != nil {
+	if t := m.findTask(c.Task, c.Attempt); t != nil {
 		m.counts.RepeatedStarts++
 		if t.state.Active() {
 			return ""
@@ -292,8 +295,8 @@
 		return fmt.Sprintf("this attempt is already %s", t.state)
 	}
 	t := &task{
-		Command: c, state: commander.TaskStarting, until: m.clock + m.options.StartTime,
-		checkpoint: c.Checkpoint, leaseEnd: c.LeaseEnd, factor: m.options.Interference.usage(c.Task),
+		Command: c, state: commander.TaskStarting, phaseEnd: m.clock + m.options.StartTime,
+		checkpoint: c.Checkpoint, leaseEnd: c.LeaseEnd, usageRatio: m.options.Interference.usageRatio(c.Task),
 	}
 	if c.Checkpoint != "" {
 		p, err := parseCheckpoint(c.Checkpoint)
@@ -310,17 +313,17 @@
 		t.instance = in
 	}
 	key := attemptKey(c.Task, c.Attempt)
-	again := m.ran[key] || slices.ContainsFunc(m.tasks, func(o *task) bool { return o.Task == c.Task && o.state.Active() })
-	if again {
+	startedBefore := m.startedAttempts[key] || slices.ContainsFunc(m.tasks, func(o *task) bool { return o.Task == c.Task && o.state.Active() })
+	if startedBefore {
 		m.counts.DoubleStarts++
 	}
-	m.ran[key] = true
+	m.startedAttempts[key] = true
 	m.tasks = append(m.tasks, t)
 	m.counts.Started++
 	if !m.declaredLocked().Fits(m.options.Capacity) {
 		m.counts.Overcommits++
 	}
-	t.run = m.options.Ledger.started(m.options.Name, c, t.progress, m.start.Add(m.clock))
+	t.run = m.options.Ledger.recordStart(m.options.Name, c, t.progress, m.startedAt.Add(m.clock))
 	return ""
 }
 
@@ -335,7 +338,8 @@
 	return sum
 }
 
-func (m *Machine) forgetLocked(t *task) string {
+// removeEndedLocked removes an ended task from the machine's tasks.
+func (m *Machine) removeEndedLocked(t *task) string {
 	if t.state.Active() {
 		return fmt.Sprintf("task is %s", t.state)
 	}
@@ -343,18 +347,20 @@
 	return ""
 }
 
-// renewLocked never shortens a lease, so that renewals may arrive in any order. It
-// withdraws a stop that was due only to the lease's end.
+// renewLocked extends a task's lease. It never shortens a lease, so that renewals may arrive
+// in any order, and cancels a stop whose only reason was the end of the lease.
 func (m *Machine) renewLocked(t *task, end commander.WorkerTime) {
 	if end <= t.leaseEnd {
 		return
 	}
 	t.leaseEnd = end
 	if t.stopReason == reasonLeaseEnded {
-		t.stopReason, t.killAt = "", 0
+		t.stopReason, t.stopDeadline = "", 0
 	}
 }
 
+// checkpointLocked begins a checkpoint. It returns the reason if it refuses the command, or
+// "".
 func (m *Machine) checkpointLocked(t *task) string {
 	switch {
 	case t.Kind == commander.KindService:
@@ -370,21 +376,21 @@
 
 func (m *Machine) beginCheckpoint(t *task) {
 	t.state = commander.TaskCheckpointing
-	t.until = m.clock + m.options.CheckpointTime
-	t.saved = t.progress
+	t.phaseEnd = m.clock + m.options.CheckpointTime
+	t.checkpointProgress = t.progress
 }
 
-// stopLocked begins to stop a task: a batch task takes a checkpoint, an instance drains,
-// and both end when that is done or the grace has passed.
+// stopLocked begins to stop a task. A batch task takes a checkpoint and an instance drains;
+// the task ends when that is complete, or when the grace period has passed.
 func (m *Machine) stopLocked(t *task, grace time.Duration, reason string) {
 	t.stopReason = reason
-	t.killAt = m.clock + grace
+	t.stopDeadline = m.clock + grace
 	switch {
 	case grace <= 0:
 		m.endLocked(t, commander.TaskStopped, reason)
 	case t.Kind == commander.KindService:
 		t.state, t.draining, t.reason = commander.TaskCheckpointing, true, "draining"
-		t.until = t.killAt
+		t.phaseEnd = t.stopDeadline
 		if t.instance != nil {
 			t.instance.Drain()
 		}
@@ -397,7 +403,7 @@
 
 // endLocked ends a task and releases its capacity.
 func (m *Machine) endLocked(t *task, state commander.TaskState, reason string) {
-	t.state, t.reason, t.killAt = state, reason, 0
+	t.state, t.reason, t.stopDeadline = state, reason, 0
 	if reason == reasonLeaseEnded {
 		m.counts.LeasesEnded++
 	}
@@ -412,16 +418,16 @@
 	if t.instance != nil {
 		t.instance.Stop()
 	}
-	m.options.Ledger.ended(t.run, state, t.progress, t.checkpoint, m.start.Add(m.clock))
+	m.options.Ledger.recordEnd(t.run, state, t.progress, t.checkpoint, m.startedAt.Add(m.clock))
 }
 
-// reportLocked builds the report, with usage figures as old as the lag.
+// reportLocked builds the report. Its usage figures have the age ReportLag.
 func (m *Machine) reportLocked() commander.Report {
-	if m.faults.get().FreezeReports && m.frozen != nil {
-		return *m.frozen
+	if m.faults.get().FreezeReports && m.lastReport != nil {
+		return *m.lastReport
 	}
 	measured := max(0, m.clock-m.options.ReportLag)
-	measured -= measured % m.options.SampleEvery
+	measured -= measured % m.options.SampleInterval
 	r := commander.Report{
 		Worker: m.options.Name, Incarnation: m.options.Incarnation, Clock: m.clock, MeasuredAt: measured,
 		Epoch: m.epoch, Capacity: m.options.Capacity, Leaving: m.leaving,
@@ -430,10 +436,11 @@
 	for _, t := range m.tasks {
 		r.Tasks = append(r.Tasks, t.report(measured))
 	}
-	m.frozen = &r
+	m.lastReport = &r
 	return r
 }
 
+// report returns the task's part of a report, with the last sample up to the time measured.
 func (t *task) report(measured commander.WorkerTime) commander.TaskReport {
 	r := commander.TaskReport{
 		Task: t.Task, Attempt: t.Attempt, Kind: t.Kind, Class: t.Class, Service: t.Service, State: t.state,
@@ -465,7 +472,7 @@
 	return d, nil
 }
 
-// Fleet implements commander.Workers for machines without a network, by address.
+// Fleet maps addresses to machines. It implements commander.Workers without a network.
 type Fleet map[netip.AddrPort]*Machine
 
 var _ commander.Workers = Fleet{}
@@ -491,6 +498,7 @@
 	return a, err
 }
 
+// call calls do with the machine at an address and applies the machine's faults.
 func (f Fleet) call(address netip.AddrPort, do func(*Machine)) error {
 	m, ok := f[address]
 	if !ok {
--- a/internal/emulator/platform.go
+++ b/internal/emulator/platform.go
@@ -20,30 +20,30 @@
 	StoreOptions
 	Address netip.AddrPort // zero: any loopback port
 	Faults  Faults
-	Seed    uint64 // of the fault draws
+	Seed    uint64 // of the random source of the faults
 }
 
-// Platform serves a Store over HTTP (docs/protocols.md). Besides the protocol it serves
-// GET /counts, POST /hosts/set, and GET and POST /faults.
+// Platform serves a Store over HTTP (docs/protocols.md). In addition to the protocol it
+// serves GET /counts, POST /hosts/set, and GET and POST /faults.
 type Platform struct {
 	*Store
 	server *server
 }
 
-// NewPlatform starts a platform stand-in and returns it, its address and a function
-// that stops it.
+// NewPlatform starts an emulated platform and returns it, its address and a function that
+// stops it.
 func NewPlatform(o PlatformOptions) (*Platform, netip.AddrPort, func(), error) {
 	l, address, err := listen(o.Address)
 	if err != nil {
 		return nil, netip.AddrPort{}, nil, err
 	}
 	p := &Platform{Store: NewStore(o.StoreOptions)}
-	p.server = newServer(address, newFaultSwitch(o.Faults, o.Seed), p.control, p.handle)
+	p.server = newServer(address, newFaultInjector(o.Faults, o.Seed), p.control, p.handle)
 	p.server.start(l)
 	return p, address, p.server.stop, nil
 }
 
-// SetFaults replaces the fault switches.
+// SetFaults replaces the injected faults.
 func (p *Platform) SetFaults(f Faults) { p.server.faults.set(f) }
 
 func (p *Platform) control(ctx *fasthttp.RequestCtx) bool {
@@ -52,7 +52,7 @@
 		writeJSON(ctx, p.Counts())
 	case "/hosts/set":
 		var in struct{ Hosts []storer.Host }
-		if decode(ctx, &in) {
+		if decodeBody(ctx, &in) {
 			p.SetHosts(in.Hosts)
 			writeJSON(ctx, struct{}{})
 		}
@@ -80,7 +80,7 @@
 		p.leaseKeep(ctx)
 	case "/hosts/list":
 		out, err := p.Hosts(ctx)
-		answer(ctx, out, err)
+		writeAnswer(ctx, out, err)
 	default:
 		ctx.Error("unknown path", fasthttp.StatusNotFound)
 	}
@@ -88,7 +88,7 @@
 
 func (p *Platform) get(ctx *fasthttp.RequestCtx) {
 	var in struct{ Key string }
-	if !decode(ctx, &in) {
+	if !decodeBody(ctx, &in) {
 		return
 	}
 	e, err := p.Get(ctx, in.Key)
@@ -98,12 +98,12 @@
 		Revision      uint64
 		StoreRevision uint64
 	}{e.Revision > 0, e.Value, e.Revision, p.currentRevision()}
-	answer(ctx, out, err)
+	writeAnswer(ctx, out, err)
 }
 
 func (p *Platform) list(ctx *fasthttp.RequestCtx) {
 	var in struct{ Prefix string }
-	if !decode(ctx, &in) {
+	if !decodeBody(ctx, &in) {
 		return
 	}
 	es, r, err := p.List(ctx, in.Prefix)
@@ -111,7 +111,7 @@
 		Entries       []storer.Entry
 		StoreRevision uint64
 	}{es, r}
-	answer(ctx, out, err)
+	writeAnswer(ctx, out, err)
 }
 
 func (p *Platform) cas(ctx *fasthttp.RequestCtx) {
@@ -121,7 +121,7 @@
 		Value          []byte
 		Lease          string
 	}
-	if !decode(ctx, &in) {
+	if !decodeBody(ctx, &in) {
 		return
 	}
 	swapped, r, err := p.compareAndSwap(in.Key, in.ExpectRevision, in.Value, in.Lease)
@@ -129,7 +129,7 @@
 		Swapped  bool
 		Revision uint64
 	}{swapped, r}
-	answer(ctx, out, err)
+	writeAnswer(ctx, out, err)
 }
 
 func (p *Platform) remove(ctx *fasthttp.RequestCtx) {
@@ -137,11 +137,11 @@
 		Key            string
 		ExpectRevision uint64
 	}
-	if !decode(ctx, &in) {
+	if !decodeBody(ctx, &in) {
 		return
 	}
 	swapped, err := p.Delete(ctx, in.Key, in.ExpectRevision)
-	answer(ctx, struct{ Swapped bool }{swapped}, err)
+	writeAnswer(ctx, struct{ Swapped bool }{swapped}, err)
 }
 
 func (p *Platform) watch(ctx *fasthttp.RequestCtx) {
@@ -150,57 +150,57 @@
 		AfterRevision uint64
 		Wait          time.Duration
 	}
-	if !decode(ctx, &in) {
+	if !decodeBody(ctx, &in) {
 		return
 	}
-	wctx, cancel := context.WithCancel(context.Background())
+	watchCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	stopped := make(chan struct{})
-	defer close(stopped)
+	returned := make(chan struct{})
+	defer close(returned)
 	go func() {
-		look := time.NewTicker(lookForClosedEvery)
-		defer look.Stop()
+		poll := time.NewTicker(disconnectPollInterval)
+		defer poll.Stop()
 		for {
 			select {
-			case <-look.C:
+			case <-poll.C:
 				if closedByPeer(ctx.Conn()) {
 					cancel()
 				}
 				continue
-			case <-p.server.done:
+			case <-p.server.stopped:
 				cancel()
 			case <-p.server.faults.changes():
 				if f := p.server.faults.get(); f.Down || f.CutRequests {
 					cancel()
 				}
 				continue
-			case <-stopped:
+			case <-returned:
 			}
 			return
 		}
 	}()
-	out, err := p.Watch(wctx, in.Prefix, in.AfterRevision, in.Wait)
-	answer(ctx, out, err)
+	out, err := p.Watch(watchCtx, in.Prefix, in.AfterRevision, in.Wait)
+	writeAnswer(ctx, out, err)
 }
 
 func (p *Platform) leaseGrant(ctx *fasthttp.RequestCtx) {
 	var in struct {
 		TTL time.Duration `json:"Ttl"`
 	}
-	if !decode(ctx, &in) {
+	if !decodeBody(ctx, &in) {
 		return
 	}
 	name, err := p.GrantLease(in.TTL)
-	answer(ctx, struct{ Lease string }{name}, err)
+	writeAnswer(ctx, struct{ Lease string }{name}, err)
 }
 
 func (p *Platform) leaseKeep(ctx *fasthttp.RequestCtx) {
 	var in struct{ Lease string }
-	if !decode(ctx, &in) {
+	if !decodeBody(ctx, &in) {
 		return
 	}
 	found, err := p.KeepLease(in.Lease)
-	answer(ctx, struct{ Found bool }{found}, err)
+	writeAnswer(ctx, struct{ Found bool }{found}, err)
 }
 
 func (s *Store) currentRevision() uint64 {
@@ -209,8 +209,9 @@
 	return s.revision
 }
 
-// decode reads the JSON body and answers 400 if it cannot.
-func decode(ctx *fasthttp.RequestCtx, in any) bool {
+// decodeBody decodes the JSON body into in. If it cannot, it answers with status 400 and
+// returns false.
+func decodeBody(ctx *fasthttp.RequestCtx, in any) bool {
 	if err := json.Unmarshal(ctx.PostBody(), in); err != nil {
 		ctx.Error(fmt.Sprintf("body cannot be decoded: %v", err), fasthttp.StatusBadRequest)
 		return false
@@ -218,8 +219,8 @@
 	return true
 }
 
-// answer writes out, or the status that stands for err.
-func answer(ctx *fasthttp.RequestCtx, out any, err error) {
+// writeAnswer answers with out, or with the status code for err.
+func writeAnswer(ctx *fasthttp.RequestCtx, out any, err error) {
 	var limited *storer.RateLimitedError
 	var large *storer.TooLargeError
 	switch {
--- a/internal/emulator/progress.go
+++ b/internal/emulator/progress.go
@@ -9,37 +9,38 @@
 
 const (
 	reasonLeaseEnded = "lease ended"
-	// maxSamples bounds the measurements kept for each task.
-	maxSamples = 64
-	// maxSteps bounds one advance: a machine that was not called for a long time takes
-	// one sample per step.
-	maxSteps = 1 << 20
+	// maxSamplesPerTask is the number of newest measurements kept for each task.
+	maxSamplesPerTask = 64
+	// maxStepsPerAdvance limits one call of advanceLocked: a machine that was not called for a
+	// long time catches up with one sample per step.
+	maxStepsPerAdvance = 1 << 20
 )
 
-// advance runs the machine up to the present. The lock is held.
-func (m *Machine) advance() {
-	now := time.Since(m.start)
-	for range maxSteps {
+// advanceLocked simulates the machine from m.clock to the current time, event by event.
+func (m *Machine) advanceLocked() {
+	now := time.Since(m.startedAt)
+	for range maxStepsPerAdvance {
 		loads := m.loadsLocked()
-		next := m.nextEvent(loads, now)
-		m.runTasks(loads, next-m.clock)
+		next := m.nextEventTime(loads, now)
+		m.addProgress(loads, next-m.clock)
 		m.clock = next
 		m.takeSamples(loads)
-		m.handleDue()
+		m.handleDueEvents()
 		if next >= now {
 			return
 		}
 	}
 }
 
-// taskLoad is what a task uses and how much the others slow it down, constant until the
-// next event.
+// taskLoad is a task's usage and the slowdown that the other tasks cause. Both are constant
+// until the next event.
 type taskLoad struct {
 	used     configurator.Resources
 	slowdown float64
 }
 
-// rate is the work done per unit of time.
+// rate returns the work that the task does per unit of time; factor is the slow factor of
+// the injected faults.
 func (t *task) rate(l taskLoad, factor float64) float64 {
 	if t.state != commander.TaskRunning {
 		return 0
@@ -51,6 +52,7 @@
 	return r
 }
 
+// slowFactor returns the factor by which an injected fault multiplies run times.
 func (m *Machine) slowFactor() float64 {
 	if f := m.faults.get().SlowFactor; f > 0 {
 		return f
@@ -58,7 +60,8 @@
 	return 1
 }
 
-// loadsLocked calculates usage and slowdown of each task, in the order of m.tasks.
+// loadsLocked returns the usage and slowdown of each task, in the order of m.tasks, and
+// applies the slowdown to instances.
 func (m *Machine) loadsLocked() []taskLoad {
 	ls := make([]taskLoad, len(m.tasks))
 	total := 0.0
@@ -86,32 +89,33 @@
 	return ls
 }
 
-// idleShare is the share of its usage that an instance without requests has.
-const idleShare = 0.1
+// idleUsageShare is the usage of an instance without requests, as a share of its usage at
+// full load.
+const idleUsageShare = 0.1
 
-// used returns what the task uses now.
+// used returns the task's current usage.
 func (t *task) used() configurator.Resources {
 	if !t.state.Active() {
 		return configurator.Resources{}
 	}
-	cores := t.Declared.Cores * t.factor
+	cores := t.Declared.Cores * t.usageRatio
 	if t.instance != nil {
-		cores *= idleShare + (1-idleShare)*t.instance.Load()
+		cores *= idleUsageShare + (1-idleUsageShare)*t.instance.Load()
 	}
 	if t.throttle > 0 && t.throttle < 1 {
 		cores = min(cores, t.Declared.Cores*t.throttle)
 	}
 	return configurator.Resources{
 		Cores:        cores,
-		Memory:       int64(float64(t.Declared.Memory) * t.factor),
+		Memory:       int64(float64(t.Declared.Memory) * t.usageRatio),
 		Accelerators: t.Declared.Accelerators,
 	}
 }
 
-// nextEvent returns the time of the next event, at most now.
-func (m *Machine) nextEvent(loads []taskLoad, now commander.WorkerTime) commander.WorkerTime {
-	next := min(now, m.sampled+m.options.SampleEvery)
-	earlier := func(at commander.WorkerTime) {
+// nextEventTime returns the time of the next event, or now if that is earlier.
+func (m *Machine) nextEventTime(loads []taskLoad, now commander.WorkerTime) commander.WorkerTime {
+	next := min(now, m.lastSampleAt+m.options.SampleInterval)
+	consider := func(at commander.WorkerTime) {
 		if at > m.clock && at < next {
 			next = at
 		}
@@ -120,26 +124,26 @@
 		if !t.state.Active() {
 			continue
 		}
-		earlier(m.leaseAction(t))
-		if t.killAt > 0 {
-			earlier(t.killAt)
+		consider(m.leaseActionTime(t))
+		if t.stopDeadline > 0 {
+			consider(t.stopDeadline)
 		}
 		if t.state != commander.TaskRunning {
-			earlier(t.until)
+			consider(t.phaseEnd)
 		} else if r := t.rate(loads[i], m.slowFactor()); r > 0 && t.Kind == commander.KindBatch && t.Duration > 0 {
 			left := float64(t.Duration - t.progress)
-			earlier(m.clock + time.Duration(left/r) + 1)
+			consider(m.clock + time.Duration(left/r) + 1)
 		}
 	}
 	return max(next, m.clock)
 }
 
-// leaseAction returns when the machine acts on the end of a task's lease: early enough
-// to complete a checkpoint before the lease ends, so that nothing of a batch task is
-// left after it.
-func (m *Machine) leaseAction(t *task) commander.WorkerTime {
+// leaseActionTime returns when the machine begins to stop a task whose lease ends. A batch
+// task must not run after the end of its lease, so its checkpoint begins early enough to
+// be complete by then. A service task keeps running for ServiceLeaseGrace.
+func (m *Machine) leaseActionTime(t *task) commander.WorkerTime {
 	if t.Kind == commander.KindService {
-		return t.leaseEnd + m.options.ServiceKeep
+		return t.leaseEnd + m.options.ServiceLeaseGrace
 	}
 	if t.stopReason == "" && t.state == commander.TaskRunning {
 		return t.leaseEnd - m.options.CheckpointTime
@@ -147,60 +151,63 @@
 	return t.leaseEnd
 }
 
-func (m *Machine) runTasks(loads []taskLoad, d time.Duration) {
+// addProgress adds the work that the tasks did in a time d without events.
+func (m *Machine) addProgress(loads []taskLoad, d time.Duration) {
 	for i, t := range m.tasks {
 		t.progress += time.Duration(float64(d) * t.rate(loads[i], m.slowFactor()))
 	}
 }
 
+// takeSamples measures the running tasks if SampleInterval has passed since the last samples.
 func (m *Machine) takeSamples(loads []taskLoad) {
-	if m.clock < m.sampled+m.options.SampleEvery {
+	if m.clock < m.lastSampleAt+m.options.SampleInterval {
 		return
 	}
-	m.sampled = m.clock - m.clock%m.options.SampleEvery
+	m.lastSampleAt = m.clock - m.clock%m.options.SampleInterval
 	for i, t := range m.tasks {
 		if t.state != commander.TaskRunning {
 			continue
 		}
-		s := sample{at: m.sampled, used: loads[i].used, slowdown: m.options.Interference.measured(loads[i].slowdown, t.Task, m.sampled)}
+		s := sample{at: m.lastSampleAt, used: loads[i].used, slowdown: m.options.Interference.withMeasurementError(loads[i].slowdown, t.Task, m.lastSampleAt)}
 		t.samples = append(t.samples, s)
-		if len(t.samples) > maxSamples {
+		if len(t.samples) > maxSamplesPerTask {
 			t.samples = t.samples[1:]
 		}
 	}
 }
 
-// handleDue changes the states whose time has come.
-func (m *Machine) handleDue() {
+// handleDueEvents applies the state changes that are due at m.clock.
+func (m *Machine) handleDueEvents() {
 	for _, t := range m.tasks {
 		if !t.state.Active() {
 			continue
 		}
-		m.handleState(t)
+		m.handleTransition(t)
 		if t.state.Active() {
-			m.handleLease(t)
+			m.handleLeaseEnd(t)
 		}
-		if t.state.Active() && t.killAt > 0 && m.clock >= t.killAt {
+		if t.state.Active() && t.stopDeadline > 0 && m.clock >= t.stopDeadline {
 			m.endLocked(t, commander.TaskStopped, t.stopReason)
 		}
 	}
 }
 
-func (m *Machine) handleState(t *task) {
+// handleTransition applies the end of a drain, a start, a checkpoint or the work of a task.
+func (m *Machine) handleTransition(t *task) {
 	switch {
 	case t.draining:
 		if t.instance == nil || t.instance.InFlight() == 0 {
 			m.endLocked(t, commander.TaskStopped, t.stopReason)
 		}
-	case t.state == commander.TaskStarting && m.clock >= t.until:
+	case t.state == commander.TaskStarting && m.clock >= t.phaseEnd:
 		if m.faults.get().FailTasks {
 			m.endLocked(t, commander.TaskFailed, "the worker fails every task")
 			return
 		}
 		t.state = commander.TaskRunning
-	case t.state == commander.TaskCheckpointing && m.clock >= t.until:
+	case t.state == commander.TaskCheckpointing && m.clock >= t.phaseEnd:
 		m.counts.Checkpoints++
-		t.checkpoint = formatCheckpoint(t.saved)
+		t.checkpoint = formatCheckpoint(t.checkpointProgress)
 		t.state = commander.TaskRunning
 		if t.stopReason != "" {
 			m.endLocked(t, commander.TaskStopped, t.stopReason)
@@ -210,15 +217,16 @@
 	}
 }
 
-func (m *Machine) handleLease(t *task) {
-	if m.clock < m.leaseAction(t) {
+// handleLeaseEnd stops a task whose lease ends, or begins to.
+func (m *Machine) handleLeaseEnd(t *task) {
+	if m.clock < m.leaseActionTime(t) {
 		return
 	}
 	switch {
 	case m.clock >= t.leaseEnd && t.Kind == commander.KindBatch:
 		m.endLocked(t, commander.TaskStopped, reasonLeaseEnded)
 	case t.stopReason != "":
-		// A stop is already under way.
+		// The task is already stopping.
 	case t.Kind == commander.KindService:
 		m.stopLocked(t, time.Second, reasonLeaseEnded)
 	case t.state == commander.TaskRunning:
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -14,20 +14,20 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Settings of the stand-ins' HTTP servers.
+// Settings of the emulators' HTTP servers.
 const (
-	idleTimeout    = 30 * time.Second
-	maxRequestSize = 8 << 20 // bytes
-	shutdownWait   = 2 * time.Second
+	idleTimeout     = 30 * time.Second
+	maxRequestBytes = 8 << 20
+	shutdownTimeout = 2 * time.Second
 )
 
-// server runs one stand-in's HTTP handler behind its fault switch.
+// server is the HTTP server of an emulator. It applies the injected faults to the calls.
 type server struct {
 	address  netip.AddrPort
-	faults   *faultSwitch
+	faults   *faultInjector
 	http     *fasthttp.Server
 	listener net.Listener
-	done     chan struct{}
+	stopped  chan struct{}
 	stopOnce sync.Once
 }
 
@@ -43,10 +43,11 @@
 	return l, l.Addr().(*net.TCPAddr).AddrPort(), nil
 }
 
-// newServer prepares a server of control (not subject to faults, reports whether it
-// handled the path) and handler. It serves after start.
-func newServer(address netip.AddrPort, f *faultSwitch, control func(*fasthttp.RequestCtx) bool, handler fasthttp.RequestHandler) *server {
-	s := &server{address: address, faults: f, done: make(chan struct{})}
+// newServer returns a server that passes each call first to control, which reports whether
+// it handled the path and is exempt from faults, and otherwise to handler. It serves
+// after start.
+func newServer(address netip.AddrPort, f *faultInjector, control func(*fasthttp.RequestCtx) bool, handler fasthttp.RequestHandler) *server {
+	s := &server{address: address, faults: f, stopped: make(chan struct{})}
 	s.http = &fasthttp.Server{
 		Handler: func(ctx *fasthttp.RequestCtx) {
 			if string(ctx.Path()) == "/faults" {
@@ -56,13 +57,13 @@
 			if control != nil && control(ctx) {
 				return
 			}
-			s.withFaults(ctx, handler)
+			s.serveWithFaults(ctx, handler)
 		},
 		NoDefaultServerHeader: true,
 		IdleTimeout:           idleTimeout,
-		MaxRequestBodySize:    maxRequestSize,
+		MaxRequestBodySize:    maxRequestBytes,
 		CloseOnShutdown:       true,
-		Logger:                silentLogger{},
+		Logger:                discardLogger{},
 	}
 	return s
 }
@@ -71,19 +72,19 @@
 func (s *server) start(l net.Listener) {
 	s.listener = l
 	go func() {
-		// Serve returns an error only if the listener fails; then clients see
-		// refused connections, which is what a failed host shows.
+		// Serve returns an error only if the listener fails. Clients then get refused
+		// connections, as from a failed host.
 		_ = s.http.Serve(l)
 	}()
 }
 
-// stop closes the listener and waits a short time for open calls.
+// stop closes the listener and waits up to shutdownTimeout for calls in progress.
 func (s *server) stop() {
 	s.stopOnce.Do(func() {
-		close(s.done)
-		// fasthttp closes only a listener that it already serves.
+		close(s.stopped)
+		// fasthttp closes the listener only if Serve has been called with it.
 		_ = s.listener.Close()
-		ctx, cancel := context.WithTimeout(context.Background(), shutdownWait)
+		ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
 		if err := s.http.ShutdownWithContext(ctx); err != nil && !errors.Is(err, net.ErrClosed) {
 			return
@@ -91,12 +92,13 @@
 	})
 }
 
-func (s *server) withFaults(ctx *fasthttp.RequestCtx, handler fasthttp.RequestHandler) {
+// serveWithFaults calls handler and applies the injected faults before and after it.
+func (s *server) serveWithFaults(ctx *fasthttp.RequestCtx, handler fasthttp.RequestHandler) {
 	f := s.faults.get()
-	wait(f.Slow, nil, s.done)
+	sleepUnlessClosed(f.Slow, nil, s.stopped)
 	if f.CutRequests {
-		s.faults.hold(s.done)
-		closeWithoutAnswer(ctx, nil)
+		s.faults.waitForChange(s.stopped)
+		writeAndClose(ctx, nil)
 		return
 	}
 	if f.Down {
@@ -107,30 +109,32 @@
 	f = s.faults.get()
 	switch {
 	case f.CutAnswers:
-		s.faults.hold(s.done)
-		closeWithoutAnswer(ctx, nil)
+		s.faults.waitForChange(s.stopped)
+		writeAndClose(ctx, nil)
 	case s.faults.draw(f.LoseAnswers):
-		closeWithoutAnswer(ctx, nil)
+		writeAndClose(ctx, nil)
 	case s.faults.draw(f.HalfAnswers):
-		closeWithoutAnswer(ctx, halfAnswer(ctx))
+		writeAndClose(ctx, truncatedAnswer(ctx))
 	case s.faults.draw(f.LateAnswers):
-		wait(f.LateBy, nil, s.done)
+		sleepUnlessClosed(f.LateBy, nil, s.stopped)
 	}
 }
 
-// closeWithoutAnswer writes raw, which may be empty, and closes the connection.
-func closeWithoutAnswer(ctx *fasthttp.RequestCtx, raw []byte) {
+// writeAndClose writes raw, which may be empty, instead of the response and closes the
+// connection.
+func writeAndClose(ctx *fasthttp.RequestCtx, raw []byte) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(c net.Conn) {
 		if len(raw) > 0 {
-			_, _ = c.Write(raw) // the client may be gone, which is as good
+			_, _ = c.Write(raw) // an error means that the client has disconnected
 		}
 		_ = c.Close()
 	})
 }
 
-// halfAnswer returns the response with its full Content-Length and half of its body.
-func halfAnswer(ctx *fasthttp.RequestCtx) []byte {
+// truncatedAnswer returns the response with its full Content-Length but only half of its
+// body.
+func truncatedAnswer(ctx *fasthttp.RequestCtx) []byte {
 	body := ctx.Response.Body()
 	h := &ctx.Response.Header
 	raw := []byte("HTTP/1.1 " + strconv.Itoa(ctx.Response.StatusCode()) + " Half\r\n")
@@ -144,11 +148,13 @@
 	return append(raw, body[:len(body)/2]...)
 }
 
-// lookForClosedEvery is how often a waiting call looks whether its client is gone.
-const lookForClosedEvery = 20 * time.Millisecond
+// disconnectPollInterval is how often a waiting call checks whether its client has
+// disconnected.
+const disconnectPollInterval = 20 * time.Millisecond
 
-// closedByPeer reports whether the client closed the connection. fasthttp does not look
-// while a handler runs. It peeks, so that a byte of a next request stays unread.
+// closedByPeer reports whether the client has closed the connection; fasthttp does not
+// detect that while a handler runs. It reads with MSG_PEEK, so that the first byte of a
+// next request stays in the socket.
 func closedByPeer(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -167,7 +173,8 @@
 	return closed || err != nil
 }
 
-// silentLogger drops fasthttp's messages about connections that a fault or a test cut.
-type silentLogger struct{}
+// discardLogger drops fasthttp's messages about connections that an injected fault or a
+// test closed.
+type discardLogger struct{}
 
-func (silentLogger) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -18,39 +18,39 @@
 const (
 	DefaultWriteRate = 400  // per second
 	DefaultReadRate  = 2000 // per second
-	// burstShare is the part of one second's calls that may come at once.
-	burstShare = 0.25
-	// DefaultKeptEvents bounds the event log; older events are compacted.
-	DefaultKeptEvents = 10000
-	maxWatchWait      = time.Minute
-	rateRetryAfter    = 100 * time.Millisecond
+	// burstSeconds is the burst of the rate limits, in seconds of calls at the rate.
+	burstSeconds = 0.25
+	// DefaultMaxEvents is the size of the event log; older events are compacted.
+	DefaultMaxEvents    = 10000
+	maxWatchWait        = time.Minute
+	rateLimitRetryAfter = 100 * time.Millisecond
 )
 
 // StoreOptions configures a Store. Zero fields take the defaults.
 type StoreOptions struct {
-	WriteRate  float64       // writes per second
-	ReadRate   float64       // reads per second
-	KeptEvents int           // events kept for watches
-	HostLag    time.Duration // age of the host list
+	WriteRate float64       // writes per second
+	ReadRate  float64       // reads per second
+	MaxEvents int           // size of the event log that watches read
+	HostLag   time.Duration // age of the host list
 }
 
-// StoreCounts counts calls by kind since the start. Waiting is the number of watches
-// waiting now; each watch is counted once in Watch.
+// StoreCounts counts calls by kind since the start. Waiting is the number of watches that
+// wait at present; each watch is counted once in Watch.
 type StoreCounts struct {
 	Get, List, CompareAndSwap, Delete, Watch, Hosts int
 	LeaseGrant, LeaseKeep                           int
 	Swapped                                         int // writes that took effect
-	RefusedWrites, RefusedReads                     int // over the rate
+	RefusedWrites, RefusedReads                     int // calls over the rate limit
 	Waiting, MostWaiting                            int
 	BytesWritten, BytesRead                         int64 // values only
 }
 
-// Writes returns the number of calls that count against the write rate.
+// Writes returns the number of calls that count towards the write rate.
 func (c StoreCounts) Writes() int {
 	return c.CompareAndSwap + c.Delete + c.LeaseGrant + c.LeaseKeep
 }
 
-// Reads returns the number of calls that count against the read rate.
+// Reads returns the number of calls that count towards the read rate.
 func (c StoreCounts) Reads() int { return c.Get + c.List + c.Watch + c.Hosts }
 
 type value struct {
@@ -60,32 +60,32 @@
 }
 
 type lease struct {
-	ttl  time.Duration
-	ends time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 type hostSnapshot struct {
-	at    time.Time
+	setAt time.Time
 	hosts []storer.Host
 }
 
-// Store is the platform's key-value store and host list, without a network. It
-// implements storer.Store.
+// Store emulates the platform's key-value store and host list in memory, without a network.
+// It implements storer.Store.
 type Store struct {
 	options StoreOptions
 
-	mu        sync.Mutex // guards all fields below
-	values    map[string]value
-	leases    map[string]*lease
-	nextLease uint64
-	revision  uint64
-	events    []storer.Entry
-	compacted uint64 // revision of the newest dropped event
-	changed   chan struct{}
-	writes    *rate.Limiter
-	reads     *rate.Limiter
-	counts    StoreCounts
-	hosts     []hostSnapshot
+	mu                sync.Mutex // guards all fields below
+	values            map[string]value
+	leases            map[string]*lease
+	nextLease         uint64
+	revision          uint64
+	events            []storer.Entry
+	compactedRevision uint64 // revision of the newest event that left the event log
+	changed           chan struct{}
+	writes            *rate.Limiter
+	reads             *rate.Limiter
+	counts            StoreCounts
+	hostSnapshots     []hostSnapshot
 }
 
 var _ storer.Store = (*Store)(nil)
@@ -98,17 +98,17 @@
 	if o.ReadRate <= 0 {
 		o.ReadRate = DefaultReadRate
 	}
-	if o.KeptEvents <= 0 {
-		o.KeptEvents = DefaultKeptEvents
+	if o.MaxEvents <= 0 {
+		o.MaxEvents = DefaultMaxEvents
 	}
 	return &Store{
-		options: o,
-		values:  make(map[string]value),
-		leases:  make(map[string]*lease),
-		changed: make(chan struct{}),
-		writes:  rate.NewLimiter(rate.Limit(o.WriteRate), max(1, int(o.WriteRate*burstShare))),
-		reads:   rate.NewLimiter(rate.Limit(o.ReadRate), max(1, int(o.ReadRate*burstShare))),
-		hosts:   []hostSnapshot{{at: time.Now()}},
+		options:       o,
+		values:        make(map[string]value),
+		leases:        make(map[string]*lease),
+		changed:       make(chan struct{}),
+		writes:        rate.NewLimiter(rate.Limit(o.WriteRate), max(1, int(o.WriteRate*burstSeconds))),
+		reads:         rate.NewLimiter(rate.Limit(o.ReadRate), max(1, int(o.ReadRate*burstSeconds))),
+		hostSnapshots: []hostSnapshot{{setAt: time.Now()}},
 	}
 }
 
@@ -119,37 +119,38 @@
 	return s.counts
 }
 
-// SetHosts sets the actual hosts. The list shows them after HostLag.
+// SetHosts sets the actual hosts. Hosts returns them once HostLag has passed.
 func (s *Store) SetHosts(hosts []storer.Host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hosts = append(s.hosts, hostSnapshot{at: time.Now(), hosts: slices.Clone(hosts)})
+	s.hostSnapshots = append(s.hostSnapshots, hostSnapshot{setAt: time.Now(), hosts: slices.Clone(hosts)})
 }
 
-// Put writes a value without counting it, for tests that prepare or corrupt a value.
+// Put writes a value without counting the call, for tests that prepare or corrupt a value.
 func (s *Store) Put(key string, data []byte) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.putLocked(key, data, "")
 }
 
-// read counts a read and reports an error if it is over the rate.
-func (s *Store) readLocked(count *int) error {
+// admitReadLocked counts a read and returns an error if it exceeds the read rate.
+func (s *Store) admitReadLocked(count *int) error {
 	s.expireLocked(time.Now())
 	*count++
 	if !s.reads.Allow() {
 		s.counts.RefusedReads++
-		return &storer.RateLimitedError{RetryAfter: rateRetryAfter}
+		return &storer.RateLimitedError{RetryAfter: rateLimitRetryAfter}
 	}
 	return nil
 }
 
-func (s *Store) writeLocked(count *int) error {
+// admitWriteLocked counts a write and returns an error if it exceeds the write rate.
+func (s *Store) admitWriteLocked(count *int) error {
 	s.expireLocked(time.Now())
 	*count++
 	if !s.writes.Allow() {
 		s.counts.RefusedWrites++
-		return &storer.RateLimitedError{RetryAfter: rateRetryAfter}
+		return &storer.RateLimitedError{RetryAfter: rateLimitRetryAfter}
 	}
 	return nil
 }
@@ -158,7 +159,7 @@
 func (s *Store) Get(_ context.Context, key string) (storer.Entry, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.readLocked(&s.counts.Get); err != nil {
+	if err := s.admitReadLocked(&s.counts.Get); err != nil {
 		return storer.Entry{}, err
 	}
 	v := s.values[key]
@@ -170,7 +171,7 @@
 func (s *Store) List(_ context.Context, prefix string) ([]storer.Entry, uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.readLocked(&s.counts.List); err != nil {
+	if err := s.admitReadLocked(&s.counts.List); err != nil {
 		return nil, 0, err
 	}
 	es := []storer.Entry{}
@@ -195,7 +196,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.writeLocked(&s.counts.CompareAndSwap); err != nil {
+	if err := s.admitWriteLocked(&s.counts.CompareAndSwap); err != nil {
 		return false, 0, err
 	}
 	s.counts.BytesWritten += int64(len(data))
@@ -213,7 +214,7 @@
 func (s *Store) Delete(_ context.Context, key string, expect uint64) (bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.writeLocked(&s.counts.Delete); err != nil {
+	if err := s.admitWriteLocked(&s.counts.Delete); err != nil {
 		return false, err
 	}
 	if at := s.values[key].revision; at != expect || expect == 0 {
@@ -227,7 +228,7 @@
 // Watch implements storer.Store.
 func (s *Store) Watch(ctx context.Context, prefix string, after uint64, timeout time.Duration) (storer.Events, error) {
 	s.mu.Lock()
-	err := s.readLocked(&s.counts.Watch)
+	err := s.admitReadLocked(&s.counts.Watch)
 	s.mu.Unlock()
 	if err != nil {
 		return storer.Events{}, err
@@ -243,7 +244,7 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(s.untilLeaseEnd()):
+		case <-time.After(s.untilNextLeaseEnd()):
 		case <-t.C:
 			return es, nil
 		case <-ctx.Done():
@@ -264,7 +265,7 @@
 	defer s.mu.Unlock()
 	s.expireLocked(time.Now())
 	out := storer.Events{StoreRevision: s.revision}
-	if after < s.compacted {
+	if after < s.compactedRevision {
 		out.Compacted = true
 		return out, s.changed
 	}
@@ -284,41 +285,41 @@
 func (s *Store) Hosts(context.Context) (storer.HostList, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.readLocked(&s.counts.Hosts); err != nil {
+	if err := s.admitReadLocked(&s.counts.Hosts); err != nil {
 		return storer.HostList{}, err
 	}
-	seen := time.Now().Add(-s.options.HostLag)
-	for len(s.hosts) > 1 && !s.hosts[1].at.After(seen) {
-		s.hosts = s.hosts[1:]
+	visibleUntil := time.Now().Add(-s.options.HostLag)
+	for len(s.hostSnapshots) > 1 && !s.hostSnapshots[1].setAt.After(visibleUntil) {
+		s.hostSnapshots = s.hostSnapshots[1:]
 	}
-	return storer.HostList{Hosts: slices.Clone(s.hosts[0].hosts), Age: s.options.HostLag}, nil
+	return storer.HostList{Hosts: slices.Clone(s.hostSnapshots[0].hosts), Age: s.options.HostLag}, nil
 }
 
-// GrantLease creates a lease; values written with it are deleted when it ends.
+// GrantLease creates a lease. Keys written with the lease are deleted when it ends.
 func (s *Store) GrantLease(ttl time.Duration) (string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.writeLocked(&s.counts.LeaseGrant); err != nil {
+	if err := s.admitWriteLocked(&s.counts.LeaseGrant); err != nil {
 		return "", err
 	}
 	s.nextLease++
 	name := "lease-" + strconv.FormatUint(s.nextLease, 10)
-	s.leases[name] = &lease{ttl: ttl, ends: time.Now().Add(ttl)}
+	s.leases[name] = &lease{ttl: ttl, expiresAt: time.Now().Add(ttl)}
 	return name, nil
 }
 
-// KeepLease extends a lease by its TTL from now, and reports whether it exists.
+// KeepLease extends a lease to its TTL from now. It reports false if the lease has ended.
 func (s *Store) KeepLease(name string) (bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.writeLocked(&s.counts.LeaseKeep); err != nil {
+	if err := s.admitWriteLocked(&s.counts.LeaseKeep); err != nil {
 		return false, err
 	}
 	l := s.leases[name]
 	if l == nil {
 		return false, nil
 	}
-	l.ends = time.Now().Add(l.ttl)
+	l.expiresAt = time.Now().Add(l.ttl)
 	return true, nil
 }
 
@@ -326,42 +327,43 @@
 	s.revision++
 	data = bytes.Clone(data)
 	s.values[key] = value{data: data, revision: s.revision, lease: leaseName}
-	s.eventLocked(storer.Entry{Key: key, Value: data, Revision: s.revision})
+	s.appendEventLocked(storer.Entry{Key: key, Value: data, Revision: s.revision})
 	return s.revision
 }
 
 func (s *Store) deleteLocked(key string) {
 	s.revision++
 	delete(s.values, key)
-	s.eventLocked(storer.Entry{Key: key, Revision: s.revision, Deleted: true})
+	s.appendEventLocked(storer.Entry{Key: key, Revision: s.revision, Deleted: true})
 }
 
-func (s *Store) eventLocked(e storer.Entry) {
+func (s *Store) appendEventLocked(e storer.Entry) {
 	s.events = append(s.events, e)
-	if drop := len(s.events) - s.options.KeptEvents; drop > 0 {
-		s.compacted = s.events[drop-1].Revision
+	if drop := len(s.events) - s.options.MaxEvents; drop > 0 {
+		s.compactedRevision = s.events[drop-1].Revision
 		s.events = slices.Delete(s.events, 0, drop)
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// untilLeaseEnd returns the time until the next lease ends, at least one millisecond.
-func (s *Store) untilLeaseEnd() time.Duration {
+// untilNextLeaseEnd returns the time until the next lease ends: at least one millisecond, at
+// most maxWatchWait.
+func (s *Store) untilNextLeaseEnd() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	d := maxWatchWait
 	for _, l := range s.leases {
-		d = min(d, time.Until(l.ends))
+		d = min(d, time.Until(l.expiresAt))
 	}
 	return max(d, time.Millisecond)
 }
 
-// expireLocked ends leases; it runs at each call and when a waiting watch reaches the
-// end of a lease, so that no goroutine is needed.
+// expireLocked removes ended leases and their keys. It runs at each call and when a waiting
+// watch reaches the end of a lease, so that it needs no goroutine.
 func (s *Store) expireLocked(now time.Time) {
 	for name, l := range s.leases {
-		if now.Before(l.ends) {
+		if now.Before(l.expiresAt) {
 			continue
 		}
 		delete(s.leases, name)
--- a/internal/emulator/store_test.go
+++ b/internal/emulator/store_test.go
@@ -12,8 +12,8 @@
 	"peridotpitch/internal/storer"
 )
 
-// Guards against a stand-in without the platform's rates: a design that writes too often
-// would pass its tests and fail in production.
+// Guards against an emulated store that does not enforce the platform's rate limits: a
+// design that writes too often would pass its tests and fail in production.
 func TestRatesAreEnforcedAndCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -30,17 +30,17 @@
 		c := s.Counts()
 		is.Equal(c.CompareAndSwap, 3*DefaultWriteRate)
 		is.Equal(c.RefusedWrites, refused)
-		most := 2*DefaultWriteRate + int(DefaultWriteRate*burstShare) + 1
+		most := 2*DefaultWriteRate + int(DefaultWriteRate*burstSeconds) + 1
 		is.True(c.Swapped <= most)
 		is.True(c.Swapped > most-5)
 	})
 }
 
-// Guards against watches that miss a change, and against one that never ends.
-func TestWatch(t *testing.T) {
+// Guards against a watch that misses a change or does not return at its timeout.
+func TestWatchReturnsChangesTimesOutAndCompacts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := NewStore(StoreOptions{KeptEvents: 2})
+		s := NewStore(StoreOptions{MaxEvents: 2})
 		go func() {
 			time.Sleep(time.Second)
 			s.Put("other", nil)
@@ -51,7 +51,7 @@
 		is.NoErr(err)
 		is.Equal(len(es.Events), 1)
 		is.Equal(time.Since(start), time.Second)
-		is.Equal(s.Counts().Watch, 1) // a waiting watch is one call
+		is.Equal(s.Counts().Watch, 1) // a waiting watch counts as one call
 		es, err = s.Watch(t.Context(), "a/", es.StoreRevision, 5*time.Second)
 		is.NoErr(err)
 		is.Equal(len(es.Events), 0)
@@ -63,7 +63,8 @@
 	})
 }
 
-// Guards against a key that outlives the lease of its dead holder.
+// Guards against a key that remains after its lease has ended, for example because the
+// process that held the lease crashed.
 func TestLeaseEndDeletesItsKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -88,7 +89,8 @@
 	})
 }
 
-// Guards against a host list that is more recent than the platform's.
+// Guards against an emulated host list that shows changes earlier than the platform's,
+// which lags.
 func TestHostListLags(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -10,19 +10,20 @@
 	"peridotpitch/internal/commander"
 )
 
-// advanceEvery is how often a worker ends leases and tasks that are due without a call.
-const advanceEvery = 10 * time.Millisecond
+// advanceInterval is the interval at which a worker processes ended leases and tasks when
+// it gets no calls.
+const advanceInterval = 10 * time.Millisecond
 
-// WorkerOptions configures a Worker. The machine's Launch is set by the worker.
+// WorkerOptions configures a Worker. NewWorker sets MachineOptions.Launch.
 type WorkerOptions struct {
 	MachineOptions
 	Address    netip.AddrPort // zero: any loopback port
-	Backend    BackendOptions // template of its instances; Service and Slots come from the task
-	Executions *Executions    // shared by all instances; default: the worker's own
+	Backend    BackendOptions // template for the instances; Service and Slots come from the task
+	Executions *Executions    // shared by all instances; default: one of the worker's own
 }
 
-// Worker serves a Machine over HTTP (docs/protocols.md) and opens a Backend on a loopback
-// port for each service task. Besides the protocol it serves GET /counts, GET /runs,
+// Worker serves a Machine over HTTP (docs/protocols.md) and starts a Backend on a loopback
+// port for each service task. In addition to the protocol it serves GET /counts, GET /runs,
 // GET /executions, POST /leaving, and GET and POST /faults.
 type Worker struct {
 	*Machine
@@ -33,7 +34,7 @@
 	backends []*Backend
 }
 
-// NewWorker starts a worker stand-in and returns it, its address and a function that
+// NewWorker starts an emulated worker and returns it, its address and a function that
 // stops it and its instances.
 func NewWorker(o WorkerOptions) (*Worker, netip.AddrPort, func(), error) {
 	if o.Executions == nil {
@@ -44,28 +45,28 @@
 		return nil, netip.AddrPort{}, nil, err
 	}
 	w := &Worker{options: o}
-	o.Launch = w.launch
+	o.Launch = w.launchBackend
 	w.Machine = NewMachine(o.MachineOptions)
 	w.server = newServer(address, w.faults, w.control, w.handle)
 	w.server.start(l)
-	go w.run()
+	go w.advanceLoop()
 	return w, address, w.stop, nil
 }
 
-func (w *Worker) run() {
-	t := time.NewTicker(advanceEvery)
+func (w *Worker) advanceLoop() {
+	t := time.NewTicker(advanceInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
 			w.Advance()
-		case <-w.server.done:
+		case <-w.server.stopped:
 			return
 		}
 	}
 }
 
-func (w *Worker) launch(c commander.Command) (Instance, error) {
+func (w *Worker) launchBackend(c commander.Command) (Instance, error) {
 	o := w.options.Backend
 	o.Service, o.Slots = c.Service, c.Slots
 	o.Executions = w.options.Executions
@@ -80,14 +81,14 @@
 	return b, nil
 }
 
-// Backends returns all instances that the worker opened, with those that ended.
+// Backends returns all instances that the worker has started, including ended ones.
 func (w *Worker) Backends() []*Backend {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]*Backend(nil), w.backends...)
 }
 
-// Executions returns the count of executions of the worker's instances.
+// Executions returns the counter of the executions of the worker's instances.
 func (w *Worker) Executions() *Executions { return w.options.Executions }
 
 func (w *Worker) stop() {
@@ -107,7 +108,7 @@
 		writeJSON(ctx, w.options.Executions.Tokens())
 	case "/leaving":
 		var in struct{ Leaving bool }
-		if decode(ctx, &in) {
+		if decodeBody(ctx, &in) {
 			w.SetLeaving(in.Leaving)
 			writeJSON(ctx, struct{}{})
 		}
@@ -124,7 +125,7 @@
 			Epoch uint64
 			Owner string
 		}
-		if decode(ctx, &in) {
+		if decodeBody(ctx, &in) {
 			writeJSON(ctx, w.Fence(in.Epoch, in.Owner))
 		}
 	case "/worker/report":
@@ -135,7 +136,7 @@
 			Owner    string
 			Commands []commander.Command
 		}
-		if decode(ctx, &in) {
+		if decodeBody(ctx, &in) {
 			writeJSON(ctx, w.Apply(in.Epoch, in.Owner, in.Commands))
 		}
 	default:
