--- a/internal/harness/cluster.go
+++ b/internal/harness/cluster.go
@@ -22,29 +22,30 @@
 
 // ClusterOptions configures a Cluster. Zero fields take the defaults.
 type ClusterOptions struct {
-	Domains          []string          // failure domains; each one's successor is the next (default: north, south)
+	Domains          []string          // failure domains; the successor of each is the next one (default: north, south)
 	HostsPerDomain   int               // entry hosts (default 2)
 	WorkersPerDomain int               // workers of 16 cores and 60 GB (default 2)
 	Instances        int               // of the service "quotes" in each failure domain (default 2)
 	Policy           map[string]string // keys of the section Policy
-	WorkerFlags      []string          // further flags of standin worker
-	PlatformFlags    []string          // further flags of standin platform
-	Relays           bool              // put a relay before each entry host's messages and before its store
+	WorkerFlags      []string          // additional flags of standin worker
+	PlatformFlags    []string          // additional flags of standin platform
+	Relays           bool              // route each entry host's incoming messages and store calls through relays
 }
 
-// Cluster is a whole system of child processes on loopback: a platform, workers, and
-// entry hosts with a signed configuration in effect. It has one service "quotes", one job
-// class "plan" of 2 cores and 4 GB, and the teams "mill" and "office".
+// Cluster is a complete system of child processes on loopback: an emulated platform,
+// emulated workers, and entry hosts with a signed configuration in effect. It has the
+// service "quotes", the job class "plan" with 2 cores and 4 GB, and the teams "mill" and
+// "office".
 type Cluster struct {
 	Platform *Process
 	Store    netip.AddrPort
 	Hosts    []*Host
 	Workers  []*Worker
 
-	t       testing.TB
-	options ClusterOptions
-	dir     string
-	key     string // section of the operator's key for settings files
+	t                  testing.TB
+	options            ClusterOptions
+	dir                string
+	operatorKeySection string // section OperatorKey of the settings files
 }
 
 // Host is one entry host.
@@ -53,30 +54,30 @@
 	Name, Domain           string
 	Caller, Message, Admin netip.AddrPort
 
-	peers      netip.AddrPort // where peers send messages: Message, or its relay
-	store      netip.AddrPort // where it finds the store: the platform, or its relay
-	peersCut   netip.AddrPort // control of the relay before Message
-	storeCut   netip.AddrPort // control of the relay before the store
-	settings   string
-	generation int
+	peerAddress       netip.AddrPort // where peers send messages: Message, or the relay in front of it
+	storeAddress      netip.AddrPort // where the host calls the store: the platform, or the relay in front of it
+	peerRelayControl  netip.AddrPort // control address of the relay in front of Message
+	storeRelayControl netip.AddrPort // control address of the relay in front of the store
+	settingsPath      string
+	processNumber     int
 }
 
-// Worker is one worker stand-in.
+// Worker is one emulated worker.
 type Worker struct {
 	*Process
 	Name, Domain string
 	Address      netip.AddrPort
 }
 
-// hostAddresses is the number of addresses that each entry host takes, relays included.
-const hostAddresses = 7
+// addressesPerHost is the number of addresses of an entry host and its relays.
+const addressesPerHost = 7
 
-// clusters bounds the clusters of a test binary that run at the same time. Each has about
-// ten processes.
-var clusters = make(chan struct{}, 4)
+// clusterSlots limits how many clusters a test binary runs at the same time. Each cluster
+// has about ten processes.
+var clusterSlots = make(chan struct{}, 4)
 
 // StartCluster starts a cluster and waits until every entry host is ready and answers a
-// request. The processes end with the test.
+// request. The processes are stopped when the test ends.
 func StartCluster(t testing.TB, o ClusterOptions) *Cluster {
 	t.Helper()
 	if len(o.Domains) == 0 {
@@ -87,18 +88,19 @@
 			*v = 2
 		}
 	}
-	clusters <- struct{}{}
-	t.Cleanup(func() { <-clusters })
+	clusterSlots <- struct{}{}
+	t.Cleanup(func() { <-clusterSlots })
 	c := &Cluster{t: t, options: o, dir: t.TempDir()}
 	c.Platform = Start(t, "platform", "standin", append([]string{"platform"}, o.PlatformFlags...)...)
 	c.Store = c.Platform.WaitAddress("listening")
 	c.startWorkers()
 	c.addHosts()
-	c.key = c.Command("config", "keygen", "-name", "operator", "-out", c.file("operator.key"))
+	c.operatorKeySection = c.Command("config", "keygen", "-name", "operator", "-out", c.path("operator.key"))
 	for _, h := range c.Hosts {
 		c.StartHost(h)
 	}
-	// All entry hosts stop at the same time, before the first one is waited for.
+	// Entry hosts stop concurrently: all get SIGTERM before the cleanup of Start waits for
+	// each of them.
 	t.Cleanup(func() {
 		for _, h := range c.Hosts {
 			if h.Running() {
@@ -112,7 +114,7 @@
 	return c
 }
 
-func (c *Cluster) file(name string) string { return filepath.Join(c.dir, name) }
+func (c *Cluster) path(name string) string { return filepath.Join(c.dir, name) }
 
 func (c *Cluster) startWorkers() {
 	for _, d := range c.options.Domains {
@@ -126,17 +128,17 @@
 
 func (c *Cluster) addHosts() {
 	n := len(c.options.Domains) * c.options.HostsPerDomain
-	as := FreeAddresses(c.t, n*hostAddresses)
+	as := FreeAddresses(c.t, n*addressesPerHost)
 	var listed []storer.Host
 	for _, d := range c.options.Domains {
 		for i := range c.options.HostsPerDomain {
-			h := &Host{Name: fmt.Sprintf("%s-entry-%d", d, i+1), Domain: d, Caller: as[0], Message: as[1], Admin: as[2], peers: as[1], store: c.Store}
+			h := &Host{Name: fmt.Sprintf("%s-entry-%d", d, i+1), Domain: d, Caller: as[0], Message: as[1], Admin: as[2], peerAddress: as[1], storeAddress: c.Store}
 			if c.options.Relays {
-				h.peers, h.peersCut, h.store, h.storeCut = as[3], as[4], as[5], as[6]
-				c.startRelay(h.Name+"-peers", h.peers, h.Message, h.peersCut)
-				c.startRelay(h.Name+"-store", h.store, c.Store, h.storeCut)
+				h.peerAddress, h.peerRelayControl, h.storeAddress, h.storeRelayControl = as[3], as[4], as[5], as[6]
+				c.startRelay(h.Name+"-peers", h.peerAddress, h.Message, h.peerRelayControl)
+				c.startRelay(h.Name+"-store", h.storeAddress, c.Store, h.storeRelayControl)
 			}
-			as = as[hostAddresses:]
+			as = as[addressesPerHost:]
 			c.Hosts = append(c.Hosts, h)
 			listed = append(listed, storer.Host{Name: h.Name, Address: h.Message.String(), FailureDomain: d, State: storer.HostLive})
 		}
@@ -148,32 +150,32 @@
 	Start(c.t, name, "standin", "relay", "-listen", listen.String(), "-target", target.String(), "-control", control.String()).WaitLine("listening")
 }
 
-// StartHost starts an entry host, or starts it again after its process ended.
+// StartHost starts the process of an entry host, also after an earlier process has ended.
 func (c *Cluster) StartHost(h *Host) {
 	c.t.Helper()
 	var s strings.Builder
 	fmt.Fprintf(&s, "[EntryHost]\nName = %s\nFailureDomain = %s\nCallerAddress = %s\nMessageAddress = %s\nAdminAddress = %s\n\n[Store]\nAddress = %s\n\n",
-		h.Name, h.Domain, h.Caller, h.Message, h.Admin, h.store)
+		h.Name, h.Domain, h.Caller, h.Message, h.Admin, h.storeAddress)
 	for _, p := range c.Hosts {
 		if p != h {
-			fmt.Fprintf(&s, "[Peer %q]\nFailureDomain = %s\nAddress = %s\n\n", p.Name, p.Domain, p.peers)
+			fmt.Fprintf(&s, "[Peer %q]\nFailureDomain = %s\nAddress = %s\n\n", p.Name, p.Domain, p.peerAddress)
 		}
 	}
-	s.WriteString(c.key)
-	h.settings = c.file(h.Name + ".ini")
-	c.write(h.settings, s.String())
-	h.generation++
-	h.Process = Start(c.t, fmt.Sprintf("%s (process %d)", h.Name, h.generation), "peridotpitch", "serve", "-settings", h.settings)
+	s.WriteString(c.operatorKeySection)
+	h.settingsPath = c.path(h.Name + ".ini")
+	c.writeFile(h.settingsPath, s.String())
+	h.processNumber++
+	h.Process = Start(c.t, fmt.Sprintf("%s (process %d)", h.Name, h.processNumber), "peridotpitch", "serve", "-settings", h.settingsPath)
 }
 
-func (c *Cluster) write(path, text string) {
+func (c *Cluster) writeFile(path, text string) {
 	c.t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-// Configuration returns the text of a generation of the cluster's configuration.
+// Configuration returns the text of the cluster's configuration with a generation number.
 func (c *Cluster) Configuration(generation int) string {
 	var s strings.Builder
 	fmt.Fprintf(&s, "[Configuration]\nGeneration = %d\nReplaces = %d\nFirm = Test\n\n[Measures]\nLatency = 10\nEvictions = 3\nThroughput = 1\n\n", generation, generation-1)
@@ -194,7 +196,7 @@
 		instances = append(instances, fmt.Sprintf("%s:%d", d, c.options.Instances))
 	}
 	for _, h := range c.Hosts {
-		fmt.Fprintf(&s, "[EntryHost %q]\nFailureDomain = %s\nAddress = %s\n\n", h.Name, h.Domain, h.peers)
+		fmt.Fprintf(&s, "[EntryHost %q]\nFailureDomain = %s\nAddress = %s\n\n", h.Name, h.Domain, h.peerAddress)
 	}
 	for _, w := range c.Workers {
 		fmt.Fprintf(&s, "[Worker %q]\nFailureDomain = %s\nRack = %s-rack\nShard = 1\nAddress = %s\nCores = 16\nMemory = 60GB\n\n", w.Name, w.Domain, w.Name, w.Address)
@@ -205,16 +207,17 @@
 	return s.String()
 }
 
-// Apply signs a configuration text and applies it through the first entry host that takes it.
+// Apply signs a configuration text and applies it through the first entry host that accepts
+// it.
 func (c *Cluster) Apply(text string) {
 	c.t.Helper()
-	path := c.file("configuration.ini")
-	c.write(path, text)
-	c.Command("config", "sign", "-key", c.file("operator.key"), path)
+	path := c.path("configuration.ini")
+	c.writeFile(path, text)
+	c.Command("config", "sign", "-key", c.path("operator.key"), path)
 	var last string
 	WaitFor(c.t, "configuration is applied", func() bool {
 		for _, h := range c.Hosts {
-			out, err := c.run("config", "apply", "-address", h.Admin.String(), "-key-name", "operator", path)
+			out, err := c.runCommand("config", "apply", "-address", h.Admin.String(), "-key-name", "operator", path)
 			if err == nil {
 				return true
 			}
@@ -225,18 +228,18 @@
 	})
 }
 
-// Command runs a subcommand of peridotpitch to its end and returns its output.
+// Command runs a subcommand of peridotpitch, waits for it and returns its output.
 func (c *Cluster) Command(arguments ...string) string {
 	c.t.Helper()
-	out, err := c.run(arguments...)
+	out, err := c.runCommand(arguments...)
 	if err != nil {
 		c.t.Fatalf("peridotpitch %s: %v\n%s", strings.Join(arguments, " "), err, out)
 	}
 	return out
 }
 
-func (c *Cluster) run(arguments ...string) (string, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), Limit)
+func (c *Cluster) runCommand(arguments ...string) (string, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), WaitTimeout)
 	defer cancel()
 	out, err := exec.CommandContext(ctx, Program(c.t, "peridotpitch"), arguments...).CombinedOutput()
 	return string(out), err
@@ -247,21 +250,21 @@
 	c.t.Helper()
 	for _, h := range c.Hosts {
 		if h.Running() {
-			WaitFor(c.t, h.Name+" is ready", func() bool { return status(h.Caller, "/ready") == http.StatusOK })
-			WaitFor(c.t, h.Name+" answers", func() bool { return status(h.Caller, "/services/quotes/ready?token=ready") == http.StatusOK })
+			WaitFor(c.t, h.Name+" is ready", func() bool { return getStatus(h.Caller, "/ready") == http.StatusOK })
+			WaitFor(c.t, h.Name+" answers", func() bool { return getStatus(h.Caller, "/services/quotes/ready?token=ready") == http.StatusOK })
 		}
 	}
 }
 
-// status returns the status of a GET, 0 without an answer.
-func status(a netip.AddrPort, path string) int {
+// getStatus returns the status code of a GET, or 0 if there is no answer.
+func getStatus(a netip.AddrPort, path string) int {
 	q, err := http.NewRequest(http.MethodGet, "http://"+a.String()+path, nil)
 	if err != nil {
 		return 0
 	}
 	q.Header.Set("Peridot-Tenant", "mill")
 	q.Header.Set("Peridot-Timeout", "2s")
-	resp, err := client.Do(q)
+	resp, err := httpClient.Do(q)
 	if err != nil {
 		return 0
 	}
@@ -269,19 +272,19 @@
 	return resp.StatusCode
 }
 
-// Owner waits until a running entry host of the failure domain says that another or the
-// same one owns the domain's shard, and returns the owner. Hosts in not are no answer.
-func (c *Cluster) Owner(domain string, not ...*Host) *Host {
+// Owner waits until a running entry host of the failure domain reports an owner of the
+// domain's shard, and returns the owner. It neither asks nor returns the hosts in excluded.
+func (c *Cluster) Owner(domain string, excluded ...*Host) *Host {
 	c.t.Helper()
 	var owner *Host
 	WaitFor(c.t, "shard of "+domain+" has an owner", func() bool {
-		for _, asked := range c.Hosts {
-			if asked.Domain != domain || !asked.Running() || slices.Contains(not, asked) {
+		for _, reporter := range c.Hosts {
+			if reporter.Domain != domain || !reporter.Running() || slices.Contains(excluded, reporter) {
 				continue
 			}
-			name := shardOwner(asked.Admin, domain+"/1")
+			name := shardOwner(reporter.Admin, domain+"/1")
 			for _, h := range c.Hosts {
-				if h.Name == name && !slices.Contains(not, h) {
+				if h.Name == name && !slices.Contains(excluded, h) {
 					owner = h
 				}
 			}
@@ -291,9 +294,10 @@
 	return owner
 }
 
-// shardOwner returns the owner's name as the entry host at admin sees it, or "".
+// shardOwner returns the name of the shard's owner that the entry host at admin reports,
+// or "".
 func shardOwner(admin netip.AddrPort, shard string) string {
-	resp, err := client.Get("http://" + admin.String() + "/admin/status")
+	resp, err := httpClient.Get("http://" + admin.String() + "/admin/status")
 	if err != nil {
 		return ""
 	}
@@ -312,9 +316,9 @@
 	return ""
 }
 
-// WaitForBatch waits until a batch task runs on some worker and returns that worker. Which
-// one it is depends on the interference that the placer has learned so far.
-func (c *Cluster) WaitForBatch() *Worker {
+// WaitForBatchTask waits until a worker runs a batch task and returns that worker. Which
+// one it is depends on the interference coefficients that the placer has estimated so far.
+func (c *Cluster) WaitForBatchTask() *Worker {
 	c.t.Helper()
 	var found *Worker
 	WaitFor(c.t, "a batch task to run", func() bool {
@@ -341,11 +345,11 @@
 	return c.addresses(func(h *Host) netip.AddrPort { return h.Admin })
 }
 
-func (c *Cluster) addresses(of func(*Host) netip.AddrPort) []netip.AddrPort {
+func (c *Cluster) addresses(address func(*Host) netip.AddrPort) []netip.AddrPort {
 	var as []netip.AddrPort
 	for _, h := range c.Hosts {
 		if h.Running() {
-			as = append(as, of(h))
+			as = append(as, address(h))
 		}
 	}
 	return as
@@ -362,16 +366,17 @@
 	return as
 }
 
-// CutOff cuts a host from the store, and all messages to the entry hosts of its failure
-// domain, so that the domain's hosts do not hear of each other. A relay cannot tell who
-// sends, so the messages from other failure domains to this one are cut too; those that
-// the domain's hosts send to other domains are not. It needs relays.
+// CutOff partitions a host from the store, and all entry hosts of its failure domain from
+// messages to them, so that they get no messages from each other. A relay cannot
+// distinguish senders, so it also drops messages from other failure domains to this one;
+// messages from the domain's hosts to other domains still arrive. It requires
+// ClusterOptions.Relays.
 func (c *Cluster) CutOff(h *Host, cut relayer.Cut) {
 	c.t.Helper()
-	SetCut(c.t, h.storeCut, cut)
+	SetCut(c.t, h.storeRelayControl, cut)
 	for _, o := range c.Hosts {
 		if o.Domain == h.Domain {
-			SetCut(c.t, o.peersCut, cut)
+			SetCut(c.t, o.peerRelayControl, cut)
 		}
 	}
 }
--- a/internal/harness/cluster_test.go
+++ b/internal/harness/cluster_test.go
@@ -13,17 +13,17 @@
 	"peridotpitch/internal/relayer"
 )
 
-// workload is what runs while a test breaks something.
+// workload is the requests and jobs that run while a test injects a fault.
 type workload struct {
 	t        *testing.T
-	c        *harness.Cluster
+	cluster  *harness.Cluster
 	requests chan *generator.Result
 	jobs     chan *generator.Result
 }
 
-// begin sends requests for about seconds seconds, and submits jobs of about two seconds
-// during that time.
-func begin(t *testing.T, c *harness.Cluster, seconds, jobs int) *workload {
+// startWorkload sends requests for about the given number of seconds, and submits jobs of
+// about two seconds during that time.
+func startWorkload(t *testing.T, c *harness.Cluster, seconds, jobs int) *workload {
 	t.Helper()
 	mix := func(text string) generator.Mix {
 		m, err := generator.ParseMix(text)
@@ -32,14 +32,14 @@
 		}
 		return m
 	}
-	w := &workload{t: t, c: c, requests: make(chan *generator.Result, 1), jobs: make(chan *generator.Result, 1)}
+	w := &workload{t: t, cluster: c, requests: make(chan *generator.Result, 1), jobs: make(chan *generator.Result, 1)}
 	callers := generator.CallerOptions{
 		Entries: c.Callers(), Rate: 200, Count: 200 * seconds, Services: mix("quotes"), Tenants: mix("mill,office"), Classes: mix("normal:3,urgent:1"),
 		Repeatable: 0.5, Timeout: 2 * time.Second, HealthEvery: 200 * time.Millisecond, Run: "run", Seed: 1,
 	}
 	submissions := generator.JobOptions{
 		Admins: c.Admins(), Rate: float64(jobs) / float64(seconds), Count: jobs, Classes: mix("plan"), Teams: mix("mill,office"),
-		Duration: 2 * time.Second, Wait: harness.Limit, RetryFor: harness.Limit, Run: "run", Seed: 1,
+		Duration: 2 * time.Second, Wait: harness.WaitTimeout, RetryFor: harness.WaitTimeout, Run: "run", Seed: 1,
 	}
 	go func() {
 		r, err := generator.Call(t.Context(), callers)
@@ -58,31 +58,34 @@
 	return w
 }
 
-// beginOn starts a cluster, begins and lets the workload run for a while.
-func beginOn(t *testing.T, o harness.ClusterOptions, seconds, jobs int, calm time.Duration) (*harness.Cluster, *workload) {
+// startClusterAndWorkload starts a cluster and a workload, and returns when the workload has
+// run for the time warmup.
+func startClusterAndWorkload(t *testing.T, o harness.ClusterOptions, seconds, jobs int, warmup time.Duration) (*harness.Cluster, *workload) {
 	t.Helper()
 	c := harness.StartCluster(t, o)
-	w := begin(t, c, seconds, jobs)
-	time.Sleep(calm)
+	w := startWorkload(t, c, seconds, jobs)
+	time.Sleep(warmup)
 	return c, w
 }
 
-// endWithAllJobs is like end and checks that every job has finished.
-func (w *workload) endWithAllJobs() (requests, jobs *generator.Result) {
+// waitForAllJobsFinished is like waitAndCheck and also checks that every submitted job has
+// finished.
+func (w *workload) waitForAllJobsFinished() (requests, jobs *generator.Result) {
 	w.t.Helper()
-	requests, jobs = w.end()
+	requests, jobs = w.waitAndCheck()
 	if j := jobs.Jobs(); j.Finished != j.Submitted {
 		w.t.Errorf("%d of %d jobs finished", j.Finished, j.Submitted)
 	}
 	return requests, jobs
 }
 
-// end waits for the outcomes and checks the guarantees that every test checks.
-func (w *workload) end() (requests, jobs *generator.Result) {
+// waitAndCheck waits until the workload ends, checks the guarantees that hold in every test
+// and returns the results.
+func (w *workload) waitAndCheck() (requests, jobs *generator.Result) {
 	w.t.Helper()
 	requests, jobs = <-w.requests, <-w.jobs
-	complete := len(w.c.WorkerAddresses()) == len(w.c.Workers)
-	violations, ran := harness.Violations(w.t, w.c.WorkerAddresses())
+	complete := len(w.cluster.WorkerAddresses()) == len(w.cluster.Workers)
+	violations, ran := harness.Violations(w.t, w.cluster.WorkerAddresses())
 	for _, v := range append(append(violations, requests.Violations(ran, complete)...), requests.Problems()...) {
 		w.t.Error("violation:", v)
 	}
@@ -96,42 +99,43 @@
 	return requests, jobs
 }
 
-// Guards against a crash of an entry host that loses jobs, runs one twice or answers
-// callers wrongly.
+// Guards against a crash of an entry host that loses jobs, runs a job twice or gives
+// callers wrong outcomes.
 func TestEntryHostKilled(t *testing.T) {
 	is := is.New(t)
 	t.Parallel()
-	c, w := beginOn(t, harness.ClusterOptions{}, 12, 30, 3*time.Second)
+	c, w := startClusterAndWorkload(t, harness.ClusterOptions{}, 12, 30, 3*time.Second)
 	killed := c.Owner("north")
 	killed.Kill()
-	c.Owner("north", killed) // another host takes over
+	c.Owner("north", killed) // another host claims the shard
 	c.StartHost(killed)
-	_, jobs := w.endWithAllJobs()
+	_, jobs := w.waitForAllJobsFinished()
 	is.Equal(jobs.Jobs().Refused+jobs.Jobs().Unknown, 0)
 }
 
-// Guards against a paused owner that acts on its shard after another host took over.
+// Guards against an owner that is paused and, after it resumes, acts on its shard although
+// another host has claimed it.
 func TestEntryHostPaused(t *testing.T) {
 	t.Parallel()
-	c, w := beginOn(t, harness.ClusterOptions{}, 16, 30, 3*time.Second)
+	c, w := startClusterAndWorkload(t, harness.ClusterOptions{}, 16, 30, 3*time.Second)
 	paused := c.Owner("north")
 	paused.Pause()
 	c.Owner("north", paused)
-	time.Sleep(2 * time.Second) // the new owner acts
+	time.Sleep(2 * time.Second) // time for the new owner to send commands
 	paused.Resume()
-	w.endWithAllJobs()
+	w.waitForAllJobsFinished()
 }
 
 // Guards against a planned stop that interrupts a request.
 func TestEntryHostTerminated(t *testing.T) {
 	is := is.New(t)
 	t.Parallel()
-	c, w := beginOn(t, harness.ClusterOptions{}, 8, 16, 2*time.Second)
+	c, w := startClusterAndWorkload(t, harness.ClusterOptions{}, 8, 16, 2*time.Second)
 	leaving := c.Owner("north")
 	leaving.Terminate()
 	is.Equal(leaving.Wait(), 0)
-	requests, jobs := w.end()
-	is.Equal(requests.Count(generator.Failed), 0) // a connection that ends without an answer
+	requests, jobs := w.waitAndCheck()
+	is.Equal(requests.Count(generator.Failed), 0) // connection errors, which include closed connections without an answer
 	is.Equal(requests.Count(generator.Unknown), 0)
 	is.Equal(jobs.Jobs().Finished, jobs.Jobs().Submitted)
 }
@@ -140,75 +144,79 @@
 func TestStoreOutage(t *testing.T) {
 	is := is.New(t)
 	t.Parallel()
-	c, w := beginOn(t, harness.ClusterOptions{}, 20, 30, 3*time.Second)
+	c, w := startClusterAndWorkload(t, harness.ClusterOptions{}, 20, 30, 3*time.Second)
 	harness.SetFaults(t, c.Store, emulator.Faults{Down: true})
 	time.Sleep(10 * time.Second)
 	harness.SetFaults(t, c.Store, emulator.Faults{})
-	requests, jobs := w.end()
-	is.Equal(requests.Count(generator.Answered), len(requests.Records())) // callers do not notice
+	requests, jobs := w.waitAndCheck()
+	is.Equal(requests.Count(generator.Answered), len(requests.Records())) // callers are not affected
 	is.Equal(jobs.Jobs().Finished, jobs.Jobs().Submitted)
 }
 
-// Guards against lost answers of the store that make an owner write or start twice.
+// Guards against an owner that repeats a write or a start because the store's answer to the
+// write was lost.
 func TestStoreAnswersLost(t *testing.T) {
 	t.Parallel()
-	c, w := beginOn(t, harness.ClusterOptions{}, 12, 30, 2*time.Second)
+	c, w := startClusterAndWorkload(t, harness.ClusterOptions{}, 12, 30, 2*time.Second)
 	harness.SetFaults(t, c.Store, emulator.Faults{LoseAnswers: 0.2})
 	time.Sleep(8 * time.Second)
 	harness.SetFaults(t, c.Store, emulator.Faults{})
-	w.endWithAllJobs()
+	w.waitForAllJobsFinished()
 }
 
-// Guards against a dead worker whose jobs are lost or run while the first run may go on.
+// Guards against jobs of a crashed worker that are lost, or started again while the first
+// run may still be in progress.
 func TestWorkerKilled(t *testing.T) {
 	is := is.New(t)
 	t.Parallel()
 	c := harness.StartCluster(t, harness.ClusterOptions{})
-	w := begin(t, c, 8, 30)
-	killed := c.WaitForBatch()
+	w := startWorkload(t, c, 8, 30)
+	killed := c.WaitForBatchTask()
 	killed.Kill()
-	requests, jobs := w.end()
+	requests, jobs := w.waitAndCheck()
 	is.True(requests.Count(generator.Answered) > 0)
 	is.Equal(jobs.Jobs().Finished, jobs.Jobs().Submitted)
 }
 
-// Guards against a worker that fails every task and takes all jobs down with it.
+// Guards against jobs that fail for good because the placer keeps choosing a worker on which
+// every task fails.
 func TestWorkerFailsEveryTask(t *testing.T) {
 	is := is.New(t)
 	t.Parallel()
 	c := harness.StartCluster(t, harness.ClusterOptions{})
 	harness.SetFaults(t, c.Workers[0].Address, emulator.Faults{FailTasks: true})
-	_, jobs := begin(t, c, 10, 30).end()
+	_, jobs := startWorkload(t, c, 10, 30).waitAndCheck()
 	is.Equal(jobs.Jobs().Finished, jobs.Jobs().Submitted)
 }
 
-// Guards against an owner that is cut from the store and its peers and goes on while its
-// successor starts the same jobs.
-func TestEntryHostCutOff(t *testing.T) {
+// Guards against an owner that is partitioned from the store and its peers and keeps starting
+// jobs while its successor starts the same ones.
+func TestEntryHostPartitioned(t *testing.T) {
 	t.Parallel()
-	c, w := beginOn(t, harness.ClusterOptions{Relays: true}, 16, 30, 3*time.Second)
+	c, w := startClusterAndWorkload(t, harness.ClusterOptions{Relays: true}, 16, 30, 3*time.Second)
 	h := c.Owner("north")
 	c.CutOff(h, relayer.Cut{Forward: true, Backward: true})
-	c.Owner("north", h)         // another host takes over
-	time.Sleep(2 * time.Second) // and acts
+	c.Owner("north", h)         // another host claims the shard
+	time.Sleep(2 * time.Second) // time for it to send commands
 	c.CutOff(h, relayer.Cut{})
-	w.endWithAllJobs()
+	w.waitForAllJobsFinished()
 }
 
-// Guards against an owner whose messages and writes arrive while it gets no answers: its
-// writes keep others from claiming the shard, and it must not act on them.
+// Guards against an owner whose messages and writes arrive although it gets no answers: the
+// writes prevent other hosts from claiming the shard, but the owner must not act on writes
+// that were not confirmed.
 func TestEntryHostGetsNoAnswers(t *testing.T) {
 	t.Parallel()
-	c, w := beginOn(t, harness.ClusterOptions{Relays: true}, 16, 30, 3*time.Second)
+	c, w := startClusterAndWorkload(t, harness.ClusterOptions{Relays: true}, 16, 30, 3*time.Second)
 	h := c.Owner("north")
 	c.CutOff(h, relayer.Cut{Backward: true})
-	time.Sleep(8 * time.Second) // over two times OwnershipTtl
+	time.Sleep(8 * time.Second) // more than twice OwnershipTtl
 	c.CutOff(h, relayer.Cut{})
-	w.endWithAllJobs()
+	w.waitForAllJobsFinished()
 }
 
-// Guards against a host that is leaving and claims the shard that another leaving host
-// released: it then waited for the whole DrainTimeout and did not hand the shard over.
+// Guards against a leaving host that claims the shard that another leaving host released. It
+// then waits for the full DrainTimeout and ends without having handed the shard over.
 func TestAllEntryHostsTerminated(t *testing.T) {
 	t.Parallel()
 	c := harness.StartCluster(t, harness.ClusterOptions{})
@@ -233,7 +241,7 @@
 	is := is.New(t)
 	t.Parallel()
 	c := harness.StartCluster(t, harness.ClusterOptions{})
-	w := begin(t, c, 45, 60)
+	w := startWorkload(t, c, 45, 60)
 	restarted := 0
 	for _, h := range c.Hosts {
 		h.Terminate()
@@ -245,29 +253,29 @@
 	is.Equal(restarted, 4)
 	select {
 	case r := <-w.requests:
-		t.Fatalf("the load ended before the last restart: %v", r)
+		t.Fatalf("the requests ended before the last restart: %v", r)
 	default:
 	}
-	requests, jobs := w.end()
+	requests, jobs := w.waitAndCheck()
 	is.Equal(requests.Count(generator.Failed), 0)
 	is.Equal(requests.Count(generator.Unknown), 0)
 	is.Equal(jobs.Jobs().Finished, jobs.Jobs().Submitted)
 }
 
-// leavingLimit is guarantee 7: a host that is leaving gets no new work 5 s after the
-// operator said so.
-const leavingLimit = 5 * time.Second
+// drainDeadline is the bound of guarantee 7: 5 s after the operator drains a host, the host
+// gets no new work.
+const drainDeadline = 5 * time.Second
 
-// Guards against new work on a worker that an operator drains, and against a drain that
+// Guards against new work on a worker that an operator has drained, and against a drain that
 // interrupts requests or loses jobs.
 func TestWorkerDrained(t *testing.T) {
 	is := is.New(t)
 	t.Parallel()
-	c, w := beginOn(t, harness.ClusterOptions{}, 14, 40, 2*time.Second)
-	drained := c.WaitForBatch()
+	c, w := startClusterAndWorkload(t, harness.ClusterOptions{}, 14, 40, 2*time.Second)
+	drained := c.WaitForBatchTask()
 	c.Command("host", "drain", "-address", c.Admins()[0].String(), drained.Name)
-	limit := time.Now().Add(leavingLimit)
-	requests, jobs := w.end()
+	limit := time.Now().Add(drainDeadline)
+	requests, jobs := w.waitAndCheck()
 	late := 0
 	for _, r := range harness.Runs(t, drained.Address) {
 		if r.Started.After(limit) {
--- a/internal/harness/control.go
+++ b/internal/harness/control.go
@@ -15,9 +15,9 @@
 	"peridotpitch/internal/storer"
 )
 
-var client = &http.Client{Timeout: 10 * time.Second}
+var httpClient = &http.Client{Timeout: 10 * time.Second}
 
-// Post sends in as JSON to a stand-in's control path and decodes the answer into out,
+// Post sends in as JSON to a control path of an emulator and decodes the answer into out,
 // unless out is nil.
 func Post(t testing.TB, address netip.AddrPort, path string, in, out any) {
 	t.Helper()
@@ -25,22 +25,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	do(t, http.MethodPost, address, path, bytes.NewReader(b), out)
+	callControl(t, http.MethodPost, address, path, bytes.NewReader(b), out)
 }
 
-// Get decodes the answer of a stand-in's control path into out.
+// Get calls a control path of an emulator and decodes the answer into out.
 func Get(t testing.TB, address netip.AddrPort, path string, out any) {
 	t.Helper()
-	do(t, http.MethodGet, address, path, nil, out)
+	callControl(t, http.MethodGet, address, path, nil, out)
 }
 
-func do(t testing.TB, method string, address netip.AddrPort, path string, body io.Reader, out any) {
+func callControl(t testing.TB, method string, address netip.AddrPort, path string, body io.Reader, out any) {
 	t.Helper()
 	q, err := http.NewRequest(method, "http://"+address.String()+path, body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	resp, err := client.Do(q)
+	resp, err := httpClient.Do(q)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,25 +55,25 @@
 	}
 }
 
-// SetFaults replaces the fault switches of a stand-in.
+// SetFaults replaces the injected faults of an emulator.
 func SetFaults(t testing.TB, address netip.AddrPort, f emulator.Faults) {
 	t.Helper()
 	Post(t, address, "/faults", f, nil)
 }
 
-// SetCut replaces the cut of a relay, at its control address.
+// SetCut sets the directions in which a relay drops data, at its control address.
 func SetCut(t testing.TB, control netip.AddrPort, c relayer.Cut) {
 	t.Helper()
 	Post(t, control, "/", c, nil)
 }
 
-// SetHosts sets the actual hosts of a platform stand-in.
+// SetHosts sets the actual hosts of an emulated platform.
 func SetHosts(t testing.TB, platform netip.AddrPort, hosts []storer.Host) {
 	t.Helper()
 	Post(t, platform, "/hosts/set", struct{ Hosts []storer.Host }{hosts}, nil)
 }
 
-// Runs returns the executions of tasks on the worker stand-in at an address.
+// Runs returns the executions of tasks on the emulated worker at an address.
 func Runs(t testing.TB, worker netip.AddrPort) []emulator.Run {
 	t.Helper()
 	var rs []emulator.Run
@@ -81,8 +81,8 @@
 	return rs
 }
 
-// Violations returns what the worker stand-ins at these addresses saw go wrong, and the
-// number of times each caller's token ran.
+// Violations returns the violations of guarantees that the emulated workers at these
+// addresses recorded, and how often the request of each caller's token ran.
 func Violations(t testing.TB, workers []netip.AddrPort) ([]string, map[string]int) {
 	t.Helper()
 	var out []string
--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -18,29 +18,29 @@
 	"time"
 )
 
-// Limit bounds each wait for an event. It is wide, because a test must not fail for the
-// machine's load: only a fault makes it pass.
-const Limit = 60 * time.Second
+// WaitTimeout is the timeout of each wait for an event. It is long, so that a wait fails only
+// because of a fault and not because of the machine's load.
+const WaitTimeout = 60 * time.Second
 
 const (
-	pollEvery = 10 * time.Millisecond
-	// stopWait is how long a process has to end after SIGTERM when its test is over.
-	stopWait = 10 * time.Second
-	// maxLines bounds the collected output of a process.
-	maxLines = 200_000
+	pollInterval = 10 * time.Millisecond
+	// stopTimeout is how long a process may take to end after the SIGTERM at the end of its
+	// test; then it is killed.
+	stopTimeout = 10 * time.Second
+	// maxOutputLines is the number of output lines that are collected of a process.
+	maxOutputLines = 200_000
 )
 
-// builtDir is set by build, for Main to remove it.
-var builtDir string
+// programsDir is the directory of the built programs, which Main removes.
+var programsDir string
 
-// build holds the directory of the built programs; they are built at most once for each
-// test binary.
-var build = sync.OnceValues(func() (string, error) {
+// buildPrograms builds the programs on its first call and returns their directory.
+var buildPrograms = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "peridotpitch-harness-")
 	if err != nil {
 		return "", err
 	}
-	builtDir = dir
+	programsDir = dir
 	arguments := []string{"build", "-o", dir + string(filepath.Separator)}
 	for _, p := range []string{"peridotpitch/cmd/standin", "peridotpitch/cmd/peridotpitch"} {
 		if exec.Command("go", "list", p).Run() == nil {
@@ -57,8 +57,8 @@
 // this package call it from TestMain.
 func Main(m *testing.M) {
 	code := m.Run()
-	if builtDir != "" {
-		_ = os.RemoveAll(builtDir)
+	if programsDir != "" {
+		_ = os.RemoveAll(programsDir)
 	}
 	os.Exit(code)
 }
@@ -66,7 +66,7 @@
 // Program returns the path of a built program, "standin" or "peridotpitch".
 func Program(t testing.TB, name string) string {
 	t.Helper()
-	dir, err := build()
+	dir, err := buildPrograms()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,50 +79,50 @@
 
 // Process is a child process of a test.
 type Process struct {
-	Name string
-	t    testing.TB
-	cmd  *exec.Cmd
-	done chan struct{}
-	err  error // of Wait; valid when done is closed
+	Name    string
+	t       testing.TB
+	cmd     *exec.Cmd
+	exited  chan struct{}
+	waitErr error // result of cmd.Wait; valid once exited is closed
 
 	mu    sync.Mutex // guards lines
 	lines []string
 }
 
-// Start starts a program. When the test ends, the process is continued, asked to stop
-// with SIGTERM and after ten seconds killed; the output of a failed test is logged.
+// Start starts a program. When the test ends, the process gets SIGCONT and SIGTERM, and
+// SIGKILL if it does not end within stopTimeout. The output is logged if the test failed.
 func Start(t testing.TB, name, program string, arguments ...string) *Process {
 	t.Helper()
-	p := &Process{Name: name, t: t, cmd: exec.Command(Program(t, program), arguments...), done: make(chan struct{})}
+	p := &Process{Name: name, t: t, cmd: exec.Command(Program(t, program), arguments...), exited: make(chan struct{})}
 	r, w := io.Pipe()
 	p.cmd.Stdout, p.cmd.Stderr = w, w
-	// The child must not outlive a test binary that is killed.
+	// The kernel kills the child if the test binary is killed.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.cmd.Start(); err != nil {
 		t.Fatalf("start %s: %v", name, err)
 	}
-	go p.collect(r)
+	go p.collectOutput(r)
 	go func() {
-		p.err = p.cmd.Wait()
+		p.waitErr = p.cmd.Wait()
 		_ = w.Close()
-		close(p.done)
+		close(p.exited)
 	}()
 	t.Cleanup(p.cleanup)
 	return p
 }
 
-func (p *Process) collect(r io.Reader) {
+func (p *Process) collectOutput(r io.Reader) {
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, 1<<20)
 	for s.Scan() {
 		p.mu.Lock()
-		if len(p.lines) < maxLines {
+		if len(p.lines) < maxOutputLines {
 			p.lines = append(p.lines, s.Text())
 		}
 		p.mu.Unlock()
 	}
-	// A line over the scanner's bound ends the scan; the rest is dropped, so that the
-	// child does not block on a full pipe.
+	// A line longer than the scanner's buffer ends the scan. The remaining output is read and
+	// dropped, so that the child does not block on a full pipe.
 	_, _ = io.Copy(io.Discard, r)
 }
 
@@ -131,10 +131,10 @@
 		p.signal(syscall.SIGCONT)
 		p.signal(syscall.SIGTERM)
 		select {
-		case <-p.done:
-		case <-time.After(stopWait):
+		case <-p.exited:
+		case <-time.After(stopTimeout):
 			p.signal(syscall.SIGKILL)
-			<-p.done
+			<-p.exited
 		}
 	}
 	if p.t.Failed() {
@@ -142,10 +142,10 @@
 	}
 }
 
-// Running reports whether the process has not ended.
+// Running reports whether the process is still running.
 func (p *Process) Running() bool {
 	select {
-	case <-p.done:
+	case <-p.exited:
 		return false
 	default:
 		return true
@@ -160,17 +160,17 @@
 	}
 }
 
-// Kill sends SIGKILL and waits for the end.
+// Kill sends SIGKILL and waits until the process has ended.
 func (p *Process) Kill() {
 	p.signal(syscall.SIGKILL)
-	<-p.done
+	<-p.exited
 }
 
-// Pause sends SIGSTOP and waits until every thread of the process has stopped: the signal
-// takes effect some time after it was sent, and a call in between was still answered.
+// Pause sends SIGSTOP and waits until every thread of the process has stopped: the process
+// can still answer a call between the sending of the signal and its effect.
 func (p *Process) Pause() {
 	p.signal(syscall.SIGSTOP)
-	WaitFor(p.t, p.Name+" to stop", p.stopped)
+	WaitFor(p.t, p.Name+" to stop", p.allThreadsStopped)
 }
 
 // Resume sends SIGCONT.
@@ -179,8 +179,8 @@
 // Terminate sends SIGTERM and does not wait.
 func (p *Process) Terminate() { p.signal(syscall.SIGTERM) }
 
-// stopped reports whether all threads are in the state T (proc(5)).
-func (p *Process) stopped() bool {
+// allThreadsStopped reports whether all threads are in state T, stopped (proc(5)).
+func (p *Process) allThreadsStopped() bool {
 	paths, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
 	if err != nil || len(paths) == 0 {
 		return false
@@ -198,26 +198,27 @@
 	return true
 }
 
-// Wait waits for the end of the process and returns its exit status; -1 if a signal
-// ended it.
+// Wait waits until the process has ended and returns its exit status, or -1 if a signal
+// killed it.
 func (p *Process) Wait() int {
 	p.t.Helper()
 	select {
-	case <-p.done:
-	case <-time.After(Limit):
-		p.t.Fatalf("%s did not end within %s", p.Name, Limit)
+	case <-p.exited:
+	case <-time.After(WaitTimeout):
+		p.t.Fatalf("process %s did not end within %s", p.Name, WaitTimeout)
 	}
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// Lines returns the output so far, standard output and error in the order of arrival.
+// Lines returns the lines that the process has written to standard output and standard
+// error so far, in the order of arrival.
 func (p *Process) Lines() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]string(nil), p.lines...)
 }
 
-// WaitLine waits for a line of output that contains text, and returns it.
+// WaitLine waits for a line of output that contains text and returns the line.
 func (p *Process) WaitLine(text string) string {
 	p.t.Helper()
 	var found string
@@ -229,7 +230,7 @@
 			}
 		}
 		if !p.Running() {
-			p.t.Fatalf("%s ended before it printed %q: %v", p.Name, text, p.err)
+			p.t.Fatalf("%s ended before it printed %q: %v", p.Name, text, p.waitErr)
 		}
 		return false
 	})
@@ -254,40 +255,42 @@
 	return netip.AddrPort{}
 }
 
-// WaitFor polls until ok returns true, and fails the test after Limit.
+// WaitFor polls until ok returns true. It fails the test after WaitTimeout, with what as the
+// description of the event.
 func WaitFor(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(Limit)
+	deadline := time.Now().Add(WaitTimeout)
 	for !ok() {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited %s for: %s", Limit, what)
+			t.Fatalf("waited %s for: %s", WaitTimeout, what)
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
-// Ports of tests lie below the range from which the kernel takes ports for connections
-// and for listeners on port 0. A port of that range could be taken by any of them between
-// its choice and its use, which failed a run of CI.
+// Ports of tests are below the kernel's ephemeral port range, from which it assigns ports to
+// connections and to listeners on port 0. Another process could get a port of that range
+// between its selection and its use, which made a run of CI fail.
 const (
-	firstPort     = 10000
-	portBlocks    = 170
-	portsPerBlock = 100
+	firstPort      = 10000
+	portBlockCount = 170
+	portsPerBlock  = 100
 )
 
 var nextPort atomic.Int64
 
-// FreeAddresses returns loopback addresses on which nothing listens. Test processes that
-// run at the same time take them from different blocks, by process identity.
+// FreeAddresses returns loopback addresses on which nothing listens. Each test process
+// selects its ports from a block that depends on its process ID, so that test processes
+// that run at the same time rarely select the same ports.
 func FreeAddresses(t testing.TB, n int) []netip.AddrPort {
 	t.Helper()
 	as := make([]netip.AddrPort, 0, n)
 	for tries := 0; len(as) < n; tries++ {
-		if tries > portBlocks*portsPerBlock {
-			t.Fatal("no port is free")
+		if tries > portBlockCount*portsPerBlock {
+			t.Fatal("all ports of the tests are in use")
 		}
-		offset := int64(os.Getpid()%portBlocks)*portsPerBlock + nextPort.Add(1)
-		port := firstPort + offset%(portBlocks*portsPerBlock)
+		offset := int64(os.Getpid()%portBlockCount)*portsPerBlock + nextPort.Add(1)
+		port := firstPort + offset%(portBlockCount*portsPerBlock)
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(port))
 		l, err := net.Listen("tcp", address.String())
 		if err != nil {
--- a/internal/harness/process_test.go
+++ b/internal/harness/process_test.go
@@ -17,9 +17,9 @@
 
 func TestMain(m *testing.M) { harness.Main(m) }
 
-// Guards against stand-ins that do not stop on SIGTERM, which would leave processes
-// behind after the demo.
-func TestStandinsStopOnTerm(t *testing.T) {
+// Guards against emulator processes that do not stop on SIGTERM and so remain after the
+// demo.
+func TestStandinsStopOnSIGTERM(t *testing.T) {
 	is := is.New(t)
 	for _, role := range [][]string{{"platform"}, {"worker", "-count", "2"}, {"backend"}, {"relay", "-target", "127.0.0.1:1"}} {
 		p := harness.Start(t, role[0], "standin", role...)
@@ -29,8 +29,9 @@
 	}
 }
 
-// Guards against a platform process whose faults cannot be switched while it runs.
-func TestStoreOutageAndPartition(t *testing.T) {
+// Guards against an emulated platform or a relay whose faults cannot be set and cleared
+// while it runs.
+func TestStoreFaultsAndPartitionAtRunTime(t *testing.T) {
 	is := is.New(t)
 	platform := harness.Start(t, "platform", "standin", "platform").WaitAddress("listening")
 	control := harness.FreeAddresses(t, 1)[0]
@@ -49,9 +50,9 @@
 	harness.WaitFor(t, "the partition heals", func() bool { return get() == nil })
 }
 
-// Guards against a paused worker that runs on beyond its tasks' leases, and against a
-// killed one that counts as alive.
-func TestPausedAndKilledWorker(t *testing.T) {
+// Guards against a worker that, paused and resumed, continues tasks whose leases have ended,
+// and against a killed worker that seems to be running.
+func TestPausedWorkerEndsExpiredTasksAndKilledWorkerIsUnreachable(t *testing.T) {
 	is := is.New(t)
 	p := harness.Start(t, "worker", "standin", "worker")
 	address := p.WaitAddress("listening")
--- a/internal/harness/stop_test.go
+++ b/internal/harness/stop_test.go
@@ -12,17 +12,17 @@
 )
 
 // Guards against a planned stop during a store outage that interrupts a request or waits
-// for the store: the shard cannot be handed over in writing then.
+// for the store. The shard cannot be handed over, because that needs a write.
 func TestEntryHostTerminatedInStoreOutage(t *testing.T) {
 	is := is.New(t)
 	t.Parallel()
-	c, w := beginOn(t, harness.ClusterOptions{}, 14, 10, 4*time.Second)
+	c, w := startClusterAndWorkload(t, harness.ClusterOptions{}, 14, 10, 4*time.Second)
 	leaving := c.Owner("north")
 	harness.SetFaults(t, c.Store, emulator.Faults{Down: true})
 	leaving.Terminate()
 	is.Equal(leaving.Wait(), 0)
 	harness.SetFaults(t, c.Store, emulator.Faults{})
-	requests, jobs := w.end()
+	requests, jobs := w.waitAndCheck()
 	is.Equal(requests.Count(generator.Failed), 0)
 	is.Equal(requests.Count(generator.Unknown), 0)
 	is.Equal(jobs.Jobs().Finished, jobs.Jobs().Submitted)
