--- a/internal/generator/callers.go
+++ b/internal/generator/callers.go
@@ -21,21 +21,21 @@
 const (
 	MaxCount    = 1_000_000
 	MaxDuration = 10 * time.Minute
-	// DefaultMaxInFlight bounds the generator's own memory; requests over it are counted
-	// as surplus and not sent.
+	// DefaultMaxInFlight limits the generator's memory; requests beyond it are not sent and
+	// get the outcome Surplus.
 	DefaultMaxInFlight = 2000
-	// answerMargin is how long the generator waits beyond a request's timeout. An entry
-	// host must give the final outcome by then.
-	answerMargin = 2 * time.Second
-	dialTimeout  = time.Second
-	// healthTimeout bounds one question for readiness.
-	healthTimeout = time.Second
+	// answerGracePeriod is how long the generator waits for an answer after a request's
+	// timeout. By then an entry host must have answered with the final outcome.
+	answerGracePeriod = 2 * time.Second
+	dialTimeout       = time.Second
+	// readinessTimeout is the timeout of one GET /ready.
+	readinessTimeout = time.Second
 )
 
-// CallerOptions configures a run of callers. The run ends after Count requests or
-// Duration, whichever is first; one of them may be 0, which means its bound.
+// CallerOptions configures a run of callers. The run ends after Count requests or after
+// Duration, whichever is first. A Count of 0 means MaxCount, a Duration of 0 MaxDuration.
 type CallerOptions struct {
-	Entries     []netip.AddrPort // caller addresses of entry hosts, used in turn
+	Entries     []netip.AddrPort // caller addresses of entry hosts, used round-robin
 	Rate        float64          // requests per second
 	Count       int
 	Duration    time.Duration
@@ -46,8 +46,8 @@
 	Timeout     time.Duration
 	BodySize    int // bytes
 	MaxInFlight int
-	HealthEvery time.Duration // if above 0, asks GET /ready this often and leaves out hosts that are not ready, as the platform's load balancer does
-	Run         string        // prefix of the tokens; unique for each run against the same backend servers
+	HealthEvery time.Duration // if above 0, the interval of GET /ready; hosts that are not ready get no requests, as with the platform's load balancer
+	Run         string        // prefix of the tokens; must be unique among the runs against the same backend servers
 	Seed        uint64
 }
 
@@ -67,52 +67,53 @@
 	if o.Run == "" {
 		o.Run = fmt.Sprintf("run%d", o.Seed)
 	}
-	if len(o.Entries) == 0 || o.Rate <= 0 || o.Services.sum == 0 {
+	if len(o.Entries) == 0 || o.Rate <= 0 || o.Services.totalWeight == 0 {
 		return o, errors.New("entry hosts, a rate above 0 and services are required")
 	}
 	return o, nil
 }
 
-// Call sends requests at the given rate until the bounds are reached or ctx ends, and
-// waits for their outcomes. Arrivals are a Poisson process that does not wait for answers.
+// Call sends requests at the given rate until Count or Duration is reached or ctx is done,
+// and waits for their outcomes. Arrivals are a Poisson process, independent of answers.
 func Call(ctx context.Context, o CallerOptions) (*Result, error) {
 	o, err := o.withDefaults()
 	if err != nil {
 		return nil, err
 	}
-	c := &callers{options: o, result: newResult(), slots: make(chan struct{}, o.MaxInFlight)}
+	c := &callers{options: o, result: newResult(), inFlight: make(chan struct{}, o.MaxInFlight)}
 	for _, a := range o.Entries {
 		c.entries = append(c.entries, &entry{HostClient: newHostClient(a)})
 	}
 	defer c.close()
 	ctx, cancel := context.WithTimeout(ctx, o.Duration)
 	defer cancel()
-	stopHealth := c.watchHealth(ctx)
+	stopHealth := c.pollReadiness(ctx)
 	defer stopHealth()
-	c.arrive(ctx, rand.New(rand.NewPCG(o.Seed, 3)))
-	c.open.Wait()
+	c.generateArrivals(ctx, rand.New(rand.NewPCG(o.Seed, 3)))
+	c.pending.Wait()
 	c.result.mu.Lock()
-	c.result.took = time.Since(c.result.started)
+	c.result.duration = time.Since(c.result.started)
 	c.result.mu.Unlock()
 	return c.result, nil
 }
 
 type callers struct {
-	options CallerOptions
-	result  *Result
-	entries []*entry
-	slots   chan struct{}
-	open    sync.WaitGroup
+	options  CallerOptions
+	result   *Result
+	entries  []*entry
+	inFlight chan struct{}
+	pending  sync.WaitGroup
 }
 
-// entry is one entry host.
+// entry is the client of one entry host.
 type entry struct {
 	*fasthttp.HostClient
-	out atomic.Bool // not ready, or not reachable
+	unavailable atomic.Bool // not ready or not reachable at the last poll
 }
 
-// watchHealth asks the entry hosts until the returned function is called.
-func (c *callers) watchHealth(ctx context.Context) func() {
+// pollReadiness polls the readiness of the entry hosts until the returned function is
+// called.
+func (c *callers) pollReadiness(ctx context.Context) func() {
 	if c.options.HealthEvery <= 0 {
 		return func() {}
 	}
@@ -121,8 +122,8 @@
 	for _, e := range c.entries {
 		g.Go(func() {
 			for {
-				status, _, err := e.GetTimeout(nil, "http://"+e.Addr+"/ready", healthTimeout)
-				e.out.Store(err != nil || status != fasthttp.StatusOK)
+				status, _, err := e.GetTimeout(nil, "http://"+e.Addr+"/ready", readinessTimeout)
+				e.unavailable.Store(err != nil || status != fasthttp.StatusOK)
 				if !sleepUntil(ctx, time.Now().Add(c.options.HealthEvery)) {
 					return
 				}
@@ -135,10 +136,11 @@
 	}
 }
 
-// pick returns the n-th entry host, or the next one that is not out.
-func (c *callers) pick(n int) *entry {
+// pickEntry returns the n-th entry host, or the next available one if that is unavailable. If
+// all are unavailable, it returns the n-th.
+func (c *callers) pickEntry(n int) *entry {
 	for i := range c.entries {
-		if e := c.entries[(n+i)%len(c.entries)]; !e.out.Load() {
+		if e := c.entries[(n+i)%len(c.entries)]; !e.unavailable.Load() {
 			return e
 		}
 	}
@@ -149,7 +151,7 @@
 	return &fasthttp.HostClient{
 		Addr:                      a.String(),
 		MaxConns:                  DefaultMaxInFlight,
-		MaxIdemponentCallAttempts: 1, // a repeated request would be counted as the product's fault
+		MaxIdemponentCallAttempts: 1, // a retry by the client would be counted as a violation by the product
 		Dial: func(addr string) (net.Conn, error) {
 			c, err := net.DialTimeout("tcp", addr, dialTimeout)
 			if err != nil {
@@ -160,7 +162,8 @@
 	}
 }
 
-// dialError marks a request that was not sent.
+// dialError is the error of a request that was not sent, because the connection could not
+// be opened.
 type dialError struct{ error }
 
 func (c *callers) close() {
@@ -169,7 +172,8 @@
 	}
 }
 
-func (c *callers) arrive(ctx context.Context, rnd *rand.Rand) {
+// generateArrivals starts the requests at the times of a Poisson process.
+func (c *callers) generateArrivals(ctx context.Context, rnd *rand.Rand) {
 	next := time.Now()
 	for n := range c.options.Count {
 		next = next.Add(time.Duration(rnd.ExpFloat64() / c.options.Rate * float64(time.Second)))
@@ -185,24 +189,24 @@
 			Class: c.options.Classes.Draw(rnd), Repeatable: rnd.Float64() < c.options.Repeatable,
 		}
 		tenant := c.options.Tenants.Draw(rnd)
-		client, planned := c.pick(n).HostClient, next
+		client, planned := c.pickEntry(n).HostClient, next
 		select {
-		case c.slots <- struct{}{}:
+		case c.inFlight <- struct{}{}:
 		default:
 			rec.Outcome = Surplus
 			c.result.add(rec, nil)
 			continue
 		}
-		c.open.Go(func() {
-			defer func() { <-c.slots }()
-			c.one(client, rec, tenant, planned)
+		c.pending.Go(func() {
+			defer func() { <-c.inFlight }()
+			c.sendRequest(client, rec, tenant, planned)
 		})
 	}
 }
 
-// one sends a request and records its outcome. Latency counts from the planned arrival,
-// so that a slow generator does not hide waiting.
-func (c *callers) one(client *fasthttp.HostClient, rec Record, tenant string, arrived time.Time) {
+// sendRequest sends a request and records its outcome. The latency is measured from the
+// planned arrival, so that it includes delays in the generator itself.
+func (c *callers) sendRequest(client *fasthttp.HostClient, rec Record, tenant string, arrived time.Time) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -220,7 +224,7 @@
 			req.Header.Set(name, v)
 		}
 	}
-	err := client.DoTimeout(req, resp, c.options.Timeout+answerMargin)
+	err := client.DoTimeout(req, resp, c.options.Timeout+answerGracePeriod)
 	rec.Latency = time.Since(arrived)
 	var dial *dialError
 	var problem error
@@ -235,7 +239,8 @@
 	c.result.add(rec, problem)
 }
 
-// classify fills in the outcome of an HTTP answer and returns what is wrong with it.
+// classify sets the outcome of rec from an HTTP answer. It returns an error if the answer
+// violates the protocol, is damaged or belongs to another request.
 func classify(rec *Record, resp *fasthttp.Response, body []byte) error {
 	rec.Request = string(resp.Header.Peek("Peridot-Request"))
 	rec.Reason = string(resp.Header.Peek("Peridot-Reason"))
@@ -244,10 +249,10 @@
 	case o == Answered:
 		rec.Outcome = Answered
 		if status != fasthttp.StatusOK {
-			return nil // the backend server's own error
+			return nil // an error that the backend server answered
 		}
 		if err := emulator.CheckBody(resp.Body(), rec.Token, body); err != nil {
-			rec.Outcome = Mismatch
+			rec.Outcome = Mismatched
 			return err
 		}
 		return nil
--- a/internal/generator/doc.go
+++ b/internal/generator/doc.go
@@ -1,7 +1,8 @@
-// Package generator is a bounded load generator: callers that send requests at a given
-// rate whether or not earlier ones were answered, and a submitter of jobs. It checks that
-// each answer is whole and belongs to its request, and compares the outcomes with what
-// the stand-ins of the backend servers ran.
+// Package generator generates a bounded load: callers send requests at a given rate,
+// whether or not earlier requests have been answered (an open-loop load), and a submitter
+// submits jobs. The package checks that each answer is complete and belongs to its
+// request, and compares the outcomes with the executions that the emulated backend
+// servers counted.
 //
 // One lock guards a run's results; nothing is called while it is held.
 package generator
--- a/internal/generator/generator_test.go
+++ b/internal/generator/generator_test.go
@@ -16,8 +16,9 @@
 	"peridotpitch/internal/emulator"
 )
 
-// front answers as an entry host that passes every request to one backend server.
-func front(t testing.TB, backend netip.AddrPort) netip.AddrPort {
+// startEntryHostStub starts a server that answers like an entry host and forwards every
+// request to one backend server.
+func startEntryHostStub(t testing.TB, backend netip.AddrPort) netip.AddrPort {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -44,7 +45,7 @@
 	return l.Addr().(*net.TCPAddr).AddrPort()
 }
 
-func mix(t testing.TB, text string) Mix {
+func mustParseMix(t testing.TB, text string) Mix {
 	t.Helper()
 	m, err := ParseMix(text)
 	if err != nil {
@@ -53,7 +54,8 @@
 	return m
 }
 
-func run(t *testing.T, f emulator.Faults) (*Result, *emulator.Backend) {
+// runLoad sends 200 requests through an entry host stub to a backend server with faults.
+func runLoad(t *testing.T, f emulator.Faults) (*Result, *emulator.Backend) {
 	t.Helper()
 	b, address, stop, err := emulator.NewBackend(emulator.BackendOptions{Slots: 4, Connections: 1000, ServiceTime: time.Millisecond, Faults: f})
 	if err != nil {
@@ -61,8 +63,8 @@
 	}
 	t.Cleanup(stop)
 	r, err := Call(t.Context(), CallerOptions{
-		Entries: []netip.AddrPort{front(t, address)}, Rate: 2000, Count: 200, Services: mix(t, "quotes"),
-		Classes: mix(t, "urgent:1,normal:3"), Tenants: mix(t, "a,b"), Repeatable: 0.5, BodySize: 64, Seed: 1,
+		Entries: []netip.AddrPort{startEntryHostStub(t, address)}, Rate: 2000, Count: 200, Services: mustParseMix(t, "quotes"),
+		Classes: mustParseMix(t, "urgent:1,normal:3"), Tenants: mustParseMix(t, "a,b"), Repeatable: 0.5, BodySize: 64, Seed: 1,
 		Timeout: time.Minute, // not reached on a busy machine
 	})
 	if err != nil {
@@ -71,10 +73,11 @@
 	return r, b
 }
 
-// Guards against a generator that loses requests or finds faults where there are none.
-func TestHealthyRun(t *testing.T) {
+// Guards against a generator that loses requests or reports problems in a run without
+// faults.
+func TestRunWithoutFaultsHasNoProblems(t *testing.T) {
 	is := is.New(t)
-	r, b := run(t, emulator.Faults{})
+	r, b := runLoad(t, emulator.Faults{})
 	is.Equal(len(r.Records()), 200)
 	is.Equal(r.Count(Answered)+r.Count(NotRun), 200)
 	is.Equal(r.Problems(), nil)
@@ -82,23 +85,23 @@
 	is.True(r.Quantile("normal", 0.99) > 0)
 }
 
-// Guards against a generator that takes a damaged or foreign answer for a good one.
-func TestFindsFaultsOfAnswers(t *testing.T) {
+// Guards against a generator that accepts a damaged answer or the answer to another request.
+func TestWrongAndTruncatedAnswersAreDetected(t *testing.T) {
 	t.Run("another request's answer", func(t *testing.T) {
 		is := is.New(t)
-		r, _ := run(t, emulator.Faults{WrongIdentity: 1})
-		is.True(r.Count(Mismatch) > 0)
+		r, _ := runLoad(t, emulator.Faults{WrongIdentity: 1})
+		is.True(r.Count(Mismatched) > 0)
 		is.True(len(r.Problems()) > 0)
 	})
-	t.Run("half answers", func(t *testing.T) {
+	t.Run("truncated answers", func(t *testing.T) {
 		is := is.New(t)
-		r, _ := run(t, emulator.Faults{HalfAnswers: 1})
-		is.Equal(r.Count(Answered), 0) // the front sees the cut and does not know the outcome
+		r, _ := runLoad(t, emulator.Faults{HalfAnswers: 1})
+		is.Equal(r.Count(Answered), 0) // the stub gets truncated answers and answers with the outcome unknown
 	})
 }
 
-// Guards against a comparison that overlooks a broken guarantee.
-func TestViolations(t *testing.T) {
+// Guards against a comparison that misses a violated guarantee.
+func TestViolationsAreDetected(t *testing.T) {
 	is := is.New(t)
 	r := newResult()
 	for _, rec := range []Record{
@@ -111,10 +114,10 @@
 	is.Equal(r.Violations(map[string]int{"b": 1, "c": 1, "e": 1}, true), nil)
 }
 
-// Guards against a run without an end.
+// Guards against a run without a limit on requests and duration.
 func TestRunIsBounded(t *testing.T) {
 	is := is.New(t)
-	o, err := CallerOptions{Entries: make([]netip.AddrPort, 1), Rate: 1, Services: mix(t, "a")}.withDefaults()
+	o, err := CallerOptions{Entries: make([]netip.AddrPort, 1), Rate: 1, Services: mustParseMix(t, "a")}.withDefaults()
 	is.NoErr(err)
 	is.Equal(o.Count, MaxCount)
 	is.Equal(o.Duration, MaxDuration)
@@ -125,7 +128,7 @@
 	is.Equal(len(r.Records()), 0)
 }
 
-// Guards against a mix that a user writes wrongly and that is taken all the same.
+// Guards against a malformed mix that is accepted.
 func TestMixRejectsBadText(t *testing.T) {
 	for _, text := range []string{"", "a:0", "a:-1", "a:x", "a,,b", "a:NaN"} {
 		_, err := ParseMix(text)
--- a/internal/generator/jobs.go
+++ b/internal/generator/jobs.go
@@ -18,43 +18,43 @@
 
 // JobOptions configures a run of job submissions.
 type JobOptions struct {
-	Admins   []netip.AddrPort // administration addresses of entry hosts, used in turn
+	Admins   []netip.AddrPort // administration addresses of entry hosts, used round-robin
 	Rate     float64          // submissions per second
 	Count    int
 	Classes  Mix
 	Teams    Mix
-	Urgent   float64                // share
+	Urgent   float64                // share of urgent jobs
 	Declared configurator.Resources // zero: the class's size
-	Duration time.Duration          // mean of the work
-	Wait     time.Duration          // for the jobs to end, after the last submission
-	RetryFor time.Duration          // how long a submission that was refused or lost is repeated; default 2 s
+	Duration time.Duration          // mean work of a job
+	Wait     time.Duration          // how long to wait for the jobs to end after the last submission
+	RetryFor time.Duration          // how long a refused or unanswered submission is retried; default 2 s
 	Run      string                 // prefix of the names
 	Seed     uint64
 }
 
 const (
 	submitTimeout = 5 * time.Second
-	// defaultRetryFor covers a change of a shard's owner in part; a store outage refuses
-	// submissions for as long as it lasts.
+	// defaultRetryFor covers only part of an ownership change of a shard. During a store
+	// outage submissions are refused until it ends.
 	defaultRetryFor = 2 * time.Second
-	pollEvery       = 200 * time.Millisecond
+	pollInterval    = 200 * time.Millisecond
 )
 
-// Submit submits jobs, waits for their end and adds the counts to r.
+// Submit submits jobs, waits until they have ended and stores their counts in r.
 func Submit(ctx context.Context, o JobOptions, r *Result) error {
-	if len(o.Admins) == 0 || o.Rate <= 0 || o.Count <= 0 || o.Count > MaxCount || o.Classes.sum == 0 || o.Teams.sum == 0 {
+	if len(o.Admins) == 0 || o.Rate <= 0 || o.Count <= 0 || o.Count > MaxCount || o.Classes.totalWeight == 0 || o.Teams.totalWeight == 0 {
 		return errors.New("administration addresses, a rate and a count above 0, classes and teams are required")
 	}
 	if o.RetryFor <= 0 {
 		o.RetryFor = defaultRetryFor
 	}
-	s := &submitter{options: o, rnd: rand.New(rand.NewPCG(o.Seed, 4)), accepted: make(map[string]scheduler.JobStatus)}
+	s := &submitter{options: o, rng: rand.New(rand.NewPCG(o.Seed, 4)), accepted: make(map[string]scheduler.JobStatus)}
 	for _, a := range o.Admins {
 		s.clients = append(s.clients, newHostClient(a))
 	}
 	start := time.Now()
 	s.submitAll(ctx)
-	s.await(ctx)
+	s.awaitJobs(ctx)
 	s.counts.Took = time.Since(start)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -62,7 +62,7 @@
 	return ctx.Err()
 }
 
-// Report runs Submit with a result of its own.
+// Report is like Submit but returns a new Result.
 func Report(ctx context.Context, o JobOptions) (*Result, error) {
 	r := newResult()
 	return r, Submit(ctx, o, r)
@@ -70,9 +70,9 @@
 
 type submitter struct {
 	options  JobOptions
-	rnd      *rand.Rand
+	rng      *rand.Rand
 	clients  []*fasthttp.HostClient
-	accepted map[string]scheduler.JobStatus // by name, with the last known status
+	accepted map[string]scheduler.JobStatus // latest status of the accepted jobs by name
 	counts   JobCounts
 }
 
@@ -84,61 +84,62 @@
 		}
 		next = next.Add(time.Duration(float64(time.Second) / s.options.Rate))
 		spec := scheduler.JobSpec{
-			Name: fmt.Sprintf("%s-job-%d", s.options.Run, n), Class: s.options.Classes.Draw(s.rnd), Team: s.options.Teams.Draw(s.rnd),
-			Urgent: s.rnd.Float64() < s.options.Urgent, Declared: s.options.Declared,
-			Duration: time.Duration((0.5 + s.rnd.Float64()) * float64(s.options.Duration)),
+			Name: fmt.Sprintf("%s-job-%d", s.options.Run, n), Class: s.options.Classes.Draw(s.rng), Team: s.options.Teams.Draw(s.rng),
+			Urgent: s.rng.Float64() < s.options.Urgent, Declared: s.options.Declared,
+			Duration: time.Duration((0.5 + s.rng.Float64()) * float64(s.options.Duration)),
 		}
 		s.submit(ctx, spec, n)
 	}
 }
 
-// submit tries the entry hosts in turn until one accepts the job. Submitting the same
-// name again is safe.
+// submit tries the entry hosts round-robin until one accepts the job. Submissions are
+// idempotent by name.
 func (s *submitter) submit(ctx context.Context, spec scheduler.JobSpec, n int) {
-	last := &s.counts.Unknown
+	failures := &s.counts.Unknown
 	until := time.Now().Add(s.options.RetryFor)
 	for i := 0; ; i++ {
 		var js scheduler.JobStatus
-		status, err := s.do(s.clients[(n+i)%len(s.clients)], fasthttp.MethodPost, "/admin/job/submit", spec, &js)
+		status, err := s.callAdmin(s.clients[(n+i)%len(s.clients)], fasthttp.MethodPost, "/admin/job/submit", spec, &js)
 		switch {
 		case err == nil && status == fasthttp.StatusOK:
 			s.counts.Submitted++
 			s.accepted[spec.Name] = js
 			return
 		case err == nil:
-			last = &s.counts.Refused
+			failures = &s.counts.Refused
 		default:
-			last = &s.counts.Unknown
+			failures = &s.counts.Unknown
 		}
-		if time.Now().After(until) || !sleepUntil(ctx, time.Now().Add(pollEvery)) {
+		if time.Now().After(until) || !sleepUntil(ctx, time.Now().Add(pollInterval)) {
 			break
 		}
 	}
-	*last++
+	*failures++
 }
 
-// await asks for the states until all accepted jobs have ended or the wait is over.
-func (s *submitter) await(ctx context.Context) {
+// awaitJobs polls the accepted jobs until all have ended or the time Wait has passed, and
+// counts their states.
+func (s *submitter) awaitJobs(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.Wait)
 	defer cancel()
 	n := 0
 	for {
-		open := 0
+		pending := 0
 		for name, js := range s.accepted {
 			if js.State.Ended() {
 				continue
 			}
 			var now scheduler.JobStatus
 			n++
-			status, err := s.do(s.clients[n%len(s.clients)], fasthttp.MethodGet, "/admin/job/show?name="+url.QueryEscape(name), nil, &now)
+			status, err := s.callAdmin(s.clients[n%len(s.clients)], fasthttp.MethodGet, "/admin/job/show?name="+url.QueryEscape(name), nil, &now)
 			if err == nil && status == fasthttp.StatusOK {
 				s.accepted[name] = now
 			}
 			if !s.accepted[name].State.Ended() {
-				open++
+				pending++
 			}
 		}
-		if open == 0 || !sleepUntil(ctx, time.Now().Add(pollEvery)) {
+		if pending == 0 || !sleepUntil(ctx, time.Now().Add(pollInterval)) {
 			break
 		}
 	}
@@ -155,7 +156,8 @@
 	}
 }
 
-func (s *submitter) do(c *fasthttp.HostClient, method, path string, in, out any) (int, error) {
+// callAdmin calls an administration path and decodes an answer with status 200 into out.
+func (s *submitter) callAdmin(c *fasthttp.HostClient, method, path string, in, out any) (int, error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -178,6 +180,7 @@
 	return resp.StatusCode(), json.Unmarshal(resp.Body(), out)
 }
 
+// sleepUntil sleeps until a time. It reports false if ctx is done before.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	t := time.NewTimer(time.Until(at))
 	defer t.Stop()
--- a/internal/generator/mix.go
+++ b/internal/generator/mix.go
@@ -10,12 +10,12 @@
 // Mix draws names by weight. It implements flag.Value with the form "a:3,b:1"; a name
 // without a weight has weight 1.
 type Mix struct {
-	names   []string
-	weights []float64
-	sum     float64
+	names       []string
+	weights     []float64
+	totalWeight float64
 }
 
-// ParseMix reads the form that Mix describes.
+// ParseMix parses a mix in the form that Mix describes.
 func ParseMix(text string) (Mix, error) {
 	var m Mix
 	for _, part := range strings.Split(text, ",") {
@@ -30,7 +30,7 @@
 		if name == "" {
 			return Mix{}, fmt.Errorf("mix %q has an empty name", text)
 		}
-		m.names, m.weights, m.sum = append(m.names, name), append(m.weights, w), m.sum+w
+		m.names, m.weights, m.totalWeight = append(m.names, name), append(m.weights, w), m.totalWeight+w
 	}
 	return m, nil
 }
@@ -55,7 +55,7 @@
 
 // Draw returns a name, or "" if the mix is empty.
 func (m *Mix) Draw(rnd *rand.Rand) string {
-	x := rnd.Float64() * m.sum
+	x := rnd.Float64() * m.totalWeight
 	for i, w := range m.weights {
 		if x < w || i == len(m.weights)-1 {
 			return m.names[i]
--- a/internal/generator/result.go
+++ b/internal/generator/result.go
@@ -11,26 +11,26 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Outcome is what became of one request, as its caller saw it.
+// Outcome is the outcome of one request from its caller's view.
 type Outcome string
 
-// Outcomes. The first three are those of the protocol.
+// Outcomes. The protocol defines the first three.
 const (
-	Answered  Outcome = "answered"
-	NotRun    Outcome = "not-run"
-	Unknown   Outcome = "unknown"
-	Rejected  Outcome = "rejected"   // status 400 to 413 without an outcome
-	Failed    Outcome = "failed"     // connection error: it may have run
-	NotSent   Outcome = "not-sent"   // the connection could not be opened
-	Surplus   Outcome = "surplus"    // not started: too many requests in flight
-	Malformed Outcome = "malformed"  // no known outcome in the answer
-	Mismatch  Outcome = "mismatched" // answered, but cut, damaged or another request's
+	Answered   Outcome = "answered"
+	NotRun     Outcome = "not-run"
+	Unknown    Outcome = "unknown"
+	Rejected   Outcome = "rejected"   // status 400 to 413 without an outcome
+	Failed     Outcome = "failed"     // connection error; the request may have run
+	NotSent    Outcome = "not-sent"   // the connection could not be opened
+	Surplus    Outcome = "surplus"    // not sent, because MaxInFlight requests were in flight
+	Malformed  Outcome = "malformed"  // status and outcome of the answer violate the protocol
+	Mismatched Outcome = "mismatched" // answered, but truncated, damaged or another request's answer
 )
 
-// Record is one request and what became of it.
+// Record is one request and its outcome.
 type Record struct {
 	Token      string
-	Request    string // identity given by the entry host
+	Request    string // identity assigned by the entry host
 	Class      string
 	Service    string
 	Repeatable bool
@@ -40,68 +40,69 @@
 }
 
 const (
-	// maxLatency bounds the histograms; requests time out after 30 s.
-	maxLatency = time.Minute
-	// significantDigits of the histograms: an error of 0.1%.
-	significantDigits = 3
-	maxReasons        = 20
+	// maxHistogramLatency is the upper end of the histograms; requests time out after 30 s.
+	maxHistogramLatency = time.Minute
+	// histogramSignificantDigits is the number of decimal digits that the histograms keep,
+	// which means an error of 0.1%.
+	histogramSignificantDigits = 3
+	maxProblems                = 20
 )
 
-// Result is the outcome of a run. Its methods may be used while the run goes on.
+// Result holds the outcomes of a run. Its methods may be called during the run.
 type Result struct {
-	mu         sync.Mutex // guards all fields
-	started    time.Time
-	took       time.Duration
-	records    []Record
-	histograms map[string]*hdrhistogram.Histogram // answered requests by class
-	requests   map[string]string                  // identity to token
-	problems   []string
-	jobs       JobCounts
+	mu             sync.Mutex // guards all fields below
+	started        time.Time
+	duration       time.Duration
+	records        []Record
+	histograms     map[string]*hdrhistogram.Histogram // answered requests by class
+	tokenByRequest map[string]string                  // caller's token by request identity
+	problems       []string
+	jobs           JobCounts
 }
 
-// JobCounts counts submissions and the last known states of jobs.
+// JobCounts counts submissions, and the jobs by their latest state.
 type JobCounts struct {
 	Submitted int // accepted
 	Refused   int // answered with an error
 	Unknown   int // no answer
 	Finished  int
 	Failed    int
-	Open      int // neither finished nor failed at the end
+	Open      int // neither finished nor failed at the end of the run
 	Evictions int
-	Took      time.Duration // from the first submission to the last end seen
+	Took      time.Duration // from the first submission until all jobs have ended or the wait is over
 }
 
 func newResult() *Result {
-	return &Result{started: time.Now(), histograms: make(map[string]*hdrhistogram.Histogram), requests: make(map[string]string)}
+	return &Result{started: time.Now(), histograms: make(map[string]*hdrhistogram.Histogram), tokenByRequest: make(map[string]string)}
 }
 
 func (r *Result) add(rec Record, problem error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.records = append(r.records, rec)
-	if problem != nil && len(r.problems) < maxReasons {
+	if problem != nil && len(r.problems) < maxProblems {
 		r.problems = append(r.problems, fmt.Sprintf("request %s (token %s): %v", rec.Request, rec.Token, problem))
 	}
 	if rec.Request != "" {
-		if t, ok := r.requests[rec.Request]; ok {
+		if t, ok := r.tokenByRequest[rec.Request]; ok {
 			r.problems = append(r.problems, fmt.Sprintf("requests %s and %s have the same identity %s", t, rec.Token, rec.Request))
 		}
-		r.requests[rec.Request] = rec.Token
+		r.tokenByRequest[rec.Request] = rec.Token
 	}
 	if rec.Outcome != Answered {
 		return
 	}
 	h := r.histograms[rec.Class]
 	if h == nil {
-		h = hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits)
+		h = hdrhistogram.New(1, maxHistogramLatency.Microseconds(), histogramSignificantDigits)
 		r.histograms[rec.Class] = h
 	}
-	if err := h.RecordValue(min(rec.Latency, maxLatency).Microseconds()); err != nil {
+	if err := h.RecordValue(min(rec.Latency, maxHistogramLatency).Microseconds()); err != nil {
 		r.problems = append(r.problems, err.Error())
 	}
 }
 
-// Records returns all requests that ended so far.
+// Records returns all requests that have ended so far.
 func (r *Result) Records() []Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -126,7 +127,8 @@
 	return n
 }
 
-// Quantile returns a latency of the answered requests of a class; q is between 0 and 1.
+// Quantile returns the q-quantile of the latency of a class's answered requests; q is
+// between 0 and 1.
 func (r *Result) Quantile(class string, q float64) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -137,28 +139,29 @@
 	return time.Duration(h.ValueAtQuantile(100*q)) * time.Microsecond
 }
 
-// Problems returns what was wrong with answers, at most 20 of them.
+// Problems describes wrong answers (at most maxProblems), duplicate request identities and
+// latencies that could not be recorded.
 func (r *Result) Problems() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.problems)
 }
 
-// Violations compares the outcomes with how often each token ran: a request that was
-// said not to have run, one that may not be repeated and ran twice, and one that was
-// answered without having run. The last check needs complete counts: those of a backend
-// server that was killed are lost.
+// Violations compares the outcomes with how often the request of each token ran. It
+// describes each request that ran although its outcome is not-run, that ran more than once
+// although it is not repeatable, or that was answered but did not run. The last check
+// requires complete counts: the counts of a killed backend server are lost.
 func (r *Result) Violations(ran map[string]int, complete bool) []string {
 	var out []string
 	for _, rec := range r.Records() {
 		n := ran[rec.Token]
 		switch {
 		case rec.Outcome == NotRun && n > 0:
-			out = append(out, fmt.Sprintf("request %s was said not to have run (%s) and ran %d times", rec.Request, rec.Reason, n))
+			out = append(out, fmt.Sprintf("request %s has the outcome not-run (%s) but ran %d times", rec.Request, rec.Reason, n))
 		case !rec.Repeatable && n > 1:
-			out = append(out, fmt.Sprintf("request %s may not be repeated and ran %d times", rec.Request, n))
+			out = append(out, fmt.Sprintf("request %s is not repeatable but ran %d times", rec.Request, n))
 		case complete && rec.Outcome == Answered && n == 0:
-			out = append(out, fmt.Sprintf("request %s was answered and did not run", rec.Request))
+			out = append(out, fmt.Sprintf("request %s was answered but did not run", rec.Request))
 		}
 	}
 	return out
@@ -184,7 +187,7 @@
 		}
 	}
 	r.mu.Lock()
-	j, took, answered, problems := r.jobs, r.took, 0, slices.Clone(r.problems)
+	j, took, answered, problems := r.jobs, r.duration, 0, slices.Clone(r.problems)
 	r.mu.Unlock()
 	answered = r.Count(Answered)
 	if took > 0 {
