--- a/examples/dimasalang/main.go
+++ b/examples/dimasalang/main.go
@@ -18,10 +18,11 @@
 type site struct {
 	name, prefix, successor string
 	entryHosts, workers     int
-	entry, worker           string // first addresses
+	entry, worker           string // address of the first entry host and worker
 }
 
-// sites are in a circle of successors, so that each site's jobs have one other home.
+// sites lists the failure domains. Each has another one as its successor, which resumes its
+// jobs.
 var sites = []site{
 	{"Sampaloc", "sampaloc", "Malolos", 3, 17, "10.10.0.1:7100", "10.10.1.1:7200"},
 	{"Malolos", "malolos", "San Pablo", 2, 17, "10.20.0.1:7100", "10.20.1.1:7200"},
@@ -30,8 +31,8 @@
 
 func compose(replaces uint64) *composer.Composition {
 	c := composer.New("Dimasalang Brass Restoration Works", replaces)
-	// A late quote loses a customer; an evicted job ticket can leave an instrument
-	// unclaimed for weeks.
+	// Latency has the highest weight, because a late quote loses a customer. Evictions come
+	// next, because an evicted job ticket can leave an instrument unclaimed for weeks.
 	c.Weights(10, 3, 1)
 	instances := map[string]int{}
 	for _, s := range sites {
@@ -39,7 +40,7 @@
 		d.EntryHosts(s.prefix+"-entry", s.entryHosts, netip.MustParseAddrPort(s.entry))
 		d.Workers(composer.Workers{Prefix: s.prefix + "-worker", Count: s.workers, RackSize: 8, Shards: 2,
 			Capacity: composer.Resources{Cores: 32, Memory: 125 * composer.GB}, First: netip.MustParseAddrPort(s.worker)})
-		instances[s.name] = s.workers // one instance fits on each worker beside its batch work
+		instances[s.name] = s.workers // one on each worker, beside its batch tasks
 	}
 	c.Service(composer.Service{Name: "workshop", Class: "workshop", Instances: instances, Slots: 8, Connections: 64,
 		Size: composer.Resources{Cores: 8, Memory: 24 * composer.GB}, LatencyTarget: 250 * time.Millisecond})
--- a/examples/vitosha/main.go
+++ b/examples/vitosha/main.go
@@ -18,10 +18,10 @@
 type site struct {
 	name, prefix, successor string
 	workers                 int
-	entry, worker           string // first addresses
+	entry, worker           string // address of the first entry host and worker
 }
 
-// sites have successors in another city.
+// sites lists the failure domains. Each has a successor in another city, which resumes its jobs.
 var sites = []site{
 	{"Plovdiv North", "plovdiv-north", "Stara Zagora", 17, "10.110.0.1:7100", "10.110.1.1:7200"},
 	{"Plovdiv South", "plovdiv-south", "Haskovo", 16, "10.120.0.1:7100", "10.120.1.1:7200"},
@@ -34,7 +34,8 @@
 
 func compose(replaces uint64) *composer.Composition {
 	c := composer.New("Vitosha Telsoft OOD", replaces)
-	// A late quote loses a customer; a lost die plan leaves the mill floor idle.
+	// Latency has the highest weight, because a late quote loses a customer. Throughput comes
+	// next, because a lost die plan leaves the mill floor idle.
 	c.Weights(10, 1, 3)
 	instances := map[string]int{}
 	for _, s := range sites {
@@ -42,7 +43,7 @@
 		d.EntryHosts(s.prefix+"-entry", entryHosts, netip.MustParseAddrPort(s.entry))
 		d.Workers(composer.Workers{Prefix: s.prefix + "-worker", Count: s.workers, RackSize: 8, Shards: 2,
 			Capacity: composer.Resources{Cores: 16, Memory: 60 * composer.GB}, First: netip.MustParseAddrPort(s.worker)})
-		instances[s.name] = s.workers // one instance fits on each worker beside its batch work
+		instances[s.name] = s.workers // one on each worker, beside its batch tasks
 	}
 	c.Service(composer.Service{Name: "mill-orders", Class: "mill-orders", Instances: instances, Slots: 8, Connections: 64,
 		Size: composer.Resources{Cores: 4, Memory: 12 * composer.GB}, LatencyTarget: 250 * time.Millisecond})
--- a/examples/vitosha/main_test.go
+++ b/examples/vitosha/main_test.go
@@ -12,8 +12,7 @@
 	"peridotpitch/pkg/composer"
 )
 
-// Guards against a program whose text changes unnoticed or no longer has the size of
-// the deployment.
+// Guards against unintended changes of the printed text and of the deployment's size.
 func TestGolden(t *testing.T) {
 	is := is.New(t)
 	golden := filepath.Join("testdata", "vitosha.ini")
--- a/pkg/composer/composition.go
+++ b/pkg/composer/composition.go
@@ -35,17 +35,17 @@
 const (
 	DefaultSlots       = 8  // requests that an instance runs at once
 	DefaultConnections = 64 // connections that an instance accepts
-	DefaultMaxAttempts = 5  // failed runs after which a job is given up
+	DefaultMaxAttempts = 5  // failed runs after which a job is not run again
 	DefaultShare       = 1  // weight in fair queueing
 )
 
-// Composition is a configuration in the making.
+// Composition builds a configuration.
 type Composition struct {
-	c configurator.Configuration
+	configuration configurator.Configuration
 }
 
 // New returns an empty composition with the default policy. replaces is the generation
-// that must be in effect when it is applied, 0 for the first.
+// that must be in effect when the composition is applied, 0 for the first configuration.
 func New(firm string, replaces uint64) *Composition {
 	return &Composition{configurator.Configuration{Generation: replaces + 1, Replaces: replaces, Firm: firm, Policy: withDefaults(Policy{})}}
 }
@@ -61,21 +61,22 @@
 	return p
 }
 
-func setDefault[T comparable](v *T, standard T) {
+// setDefault sets *v to value if it is zero.
+func setDefault[T comparable](v *T, value T) {
 	var zero T
 	if *v == zero {
-		*v = standard
+		*v = value
 	}
 }
 
 // Weights sets the weights of tail latency, evictions and batch throughput, each from 0
 // to 1000 and at least one above 0.
 func (c *Composition) Weights(latency, evictions, throughput float64) {
-	c.c.Measures = configurator.Measures{Latency: latency, Evictions: evictions, Throughput: throughput}
+	c.configuration.Measures = configurator.Measures{Latency: latency, Evictions: evictions, Throughput: throughput}
 }
 
-// Policy sets the policy.
-func (c *Composition) Policy(p Policy) { c.c.Policy = withDefaults(p) }
+// Policy sets the policy. Zero fields take their defaults.
+func (c *Composition) Policy(p Policy) { c.configuration.Policy = withDefaults(p) }
 
 // FailureDomain is a failure domain of a composition.
 type FailureDomain struct {
@@ -84,43 +85,43 @@
 }
 
 // FailureDomain adds a failure domain. successor names the failure domain that resumes
-// its jobs when it is unresponsive; empty: none.
+// its jobs when it is unresponsive, empty for none.
 func (c *Composition) FailureDomain(name, region, successor string) *FailureDomain {
-	c.c.FailureDomains = append(c.c.FailureDomains, configurator.FailureDomain{Name: name, Region: region, Successor: successor})
+	c.configuration.FailureDomains = append(c.configuration.FailureDomains, configurator.FailureDomain{Name: name, Region: region, Successor: successor})
 	return &FailureDomain{composition: c, name: name}
 }
 
-// EntryHosts adds count entry hosts named prefix-1 and on. Their message addresses are
-// consecutive and begin with first.
+// EntryHosts adds count entry hosts named prefix-1, prefix-2 and so on. Their message
+// addresses are consecutive and begin with first.
 func (d *FailureDomain) EntryHosts(prefix string, count int, first netip.AddrPort) {
 	for i := range count {
-		d.composition.c.EntryHosts = append(d.composition.c.EntryHosts, configurator.EntryHost{
+		d.composition.configuration.EntryHosts = append(d.composition.configuration.EntryHosts, configurator.EntryHost{
 			Name: fmt.Sprintf("%s-%d", prefix, i+1), FailureDomain: d.name, Address: advance(first, i)})
 	}
 }
 
-// Workers is a number of equal workers.
+// Workers describes a number of equal workers.
 type Workers struct {
-	Prefix   string         // workers are named Prefix-1 and on, racks Prefix-rack-1 and on
+	Prefix   string         // workers are named Prefix-1 and so on, racks Prefix-rack-1 and so on
 	Count    int            // number of workers
 	Capacity Resources      // of each worker
 	RackSize int            // workers in a rack
 	Shards   int            // shards over which the workers are spread
-	First    netip.AddrPort // of the first worker's agent; the others follow consecutively
+	First    netip.AddrPort // address of the first worker's agent; the others are consecutive
 }
 
 // Workers adds workers. Each shard has workers in all racks where possible, so that
 // tasks can be spread over racks within a shard.
 func (d *FailureDomain) Workers(w Workers) {
 	for i := range w.Count {
-		d.composition.c.Workers = append(d.composition.c.Workers, configurator.Worker{
+		d.composition.configuration.Workers = append(d.composition.configuration.Workers, configurator.Worker{
 			Name: fmt.Sprintf("%s-%d", w.Prefix, i+1), FailureDomain: d.name,
 			Rack:  fmt.Sprintf("%s-rack-%d", w.Prefix, i/max(w.RackSize, 1)+1),
 			Shard: fmt.Sprint(i%max(w.Shards, 1) + 1), Address: advance(w.First, i), Capacity: w.Capacity})
 	}
 }
 
-// advance returns the address n hosts after a.
+// advance returns the address n addresses after a, with the same port.
 func advance(a netip.AddrPort, n int) netip.AddrPort {
 	ip := a.Addr()
 	for range n {
@@ -133,44 +134,44 @@
 func (c *Composition) Service(s Service) {
 	setDefault(&s.Slots, DefaultSlots)
 	setDefault(&s.Connections, DefaultConnections)
-	c.c.Services = append(c.c.Services, s)
+	c.configuration.Services = append(c.configuration.Services, s)
 }
 
 // JobClass adds a job class.
 func (c *Composition) JobClass(j JobClass) {
 	setDefault(&j.MaxAttempts, DefaultMaxAttempts)
-	c.c.JobClasses = append(c.c.JobClasses, j)
+	c.configuration.JobClasses = append(c.configuration.JobClasses, j)
 }
 
 // Team adds a team.
 func (c *Composition) Team(t Team) {
 	setDefault(&t.Share, DefaultShare)
-	c.c.Teams = append(c.c.Teams, t)
+	c.configuration.Teams = append(c.configuration.Teams, t)
 }
 
-// Text checks the composition and returns its text. A fault gives an *InvalidError that
-// lists all faults with section and key; their lines are those of the printed text.
+// Text validates the composition and returns its text. Faults are returned as one
+// *InvalidError that lists each with its section, key and line in the printed text.
 func (c *Composition) Text() ([]byte, error) {
-	text := configurator.Print(&c.c)
+	text := configurator.Print(&c.configuration)
 	parsed, err := configurator.Parse(text)
 	if err != nil {
 		return nil, err
 	}
-	// A value with a line break could print as other sections than the composition has.
-	if d := configurator.Diff(&c.c, parsed); d != "" {
-		return nil, fmt.Errorf("text has another meaning than the composition:\n%s", d)
+	// A value with a line break can be printed as sections that the composition does not have.
+	if d := configurator.Diff(&c.configuration, parsed); d != "" {
+		return nil, fmt.Errorf("printed text describes another configuration than the composition:\n%s", d)
 	}
 	return text, nil
 }
 
-// Diff returns the differences from old, an earlier text, to the composition, one line
-// for each section or key. An empty old counts as no configuration.
+// Diff returns the differences from an earlier text to the composition, one line for each
+// section or key. An empty old means no earlier configuration.
 func (c *Composition) Diff(old []byte) (string, error) {
 	if _, err := c.Text(); err != nil {
 		return "", err
 	}
 	if len(old) == 0 {
-		return configurator.Diff(nil, &c.c), nil
+		return configurator.Diff(nil, &c.configuration), nil
 	}
 	before, err := configurator.Parse(old)
 	var invalid *InvalidError
@@ -180,10 +181,10 @@
 	if err != nil {
 		return "", err
 	}
-	return configurator.Diff(before, &c.c), nil
+	return configurator.Diff(before, &c.configuration), nil
 }
 
-// InvalidError lists every fault of a text.
+// InvalidError lists all faults of a text.
 type InvalidError = configurator.InvalidError
 
 // Fault is one fault of a text: line, section, key, problem and what is allowed.
--- a/pkg/composer/composition_test.go
+++ b/pkg/composer/composition_test.go
@@ -11,7 +11,7 @@
 	"github.com/matryer/is"
 )
 
-func small(replaces uint64) *Composition {
+func smallComposition(replaces uint64) *Composition {
 	c := New("Example Works", replaces)
 	c.Weights(10, 3, 1)
 	d := c.FailureDomain("Haskovo", "Bulgaria", "")
@@ -24,13 +24,13 @@
 	return c
 }
 
-// Guards against a program that prints different texts for the same composition, and
-// against defaults that are not applied.
+// Guards against different texts of the same composition, and against zero fields that do not
+// get their defaults.
 func TestText(t *testing.T) {
 	is := is.New(t)
-	text, err := small(4).Text()
+	text, err := smallComposition(4).Text()
 	is.NoErr(err)
-	again, err := small(4).Text()
+	again, err := smallComposition(4).Text()
 	is.NoErr(err)
 	is.Equal(string(text), string(again))
 	for _, w := range []string{"Generation = 5\nReplaces = 4\n", "Slots = 8\nConnections = 64\n", "MaxAttempts = 5\n", "Share = 1\n", "OwnershipTtl = 3s\n",
@@ -39,46 +39,46 @@
 	}
 }
 
-// Guards against a faulty composition that prints a text, above all one whose values
-// add other sections.
+// Guards against the text of an invalid composition being returned without an error, for
+// example if a value with a line break adds another section.
 func TestTextRefuses(t *testing.T) {
 	is := is.New(t)
-	c := small(0)
+	c := smallComposition(0)
 	c.Weights(0, 0, 0)
 	c.Team(Team{Name: "mill"})
 	_, err := c.Text()
 	var invalid *InvalidError
 	is.True(errors.As(err, &invalid))
 	is.True(len(invalid.Faults) >= 2) // weights and the duplicate team
-	c = small(0)
+	c = smallComposition(0)
 	c.Team(Team{Name: "a\"]\n[Team \"b", Quota: Resources{Cores: 1}})
 	_, err = c.Text()
 	is.True(errors.As(err, &invalid))
-	c = small(0)
-	c.c.FailureDomains[0].Region = "Bulgaria\n[Team \"b\"]\nCores = 1\nMemory = 1GB"
+	c = smallComposition(0)
+	c.configuration.FailureDomains[0].Region = "Bulgaria\n[Team \"b\"]\nCores = 1\nMemory = 1GB"
 	_, err = c.Text()
 	is.True(err != nil)
 	invalid = nil
-	is.True(!errors.As(err, &invalid)) // the text alone is valid
+	is.True(!errors.As(err, &invalid)) // the printed text itself is valid
 }
 
-// Guards against a program whose flags are ignored.
+// Guards against flags being ignored and invalid arguments being accepted.
 func TestRun(t *testing.T) {
 	is := is.New(t)
 	var out, failure strings.Builder
-	is.Equal(Run([]string{"-replaces", "8"}, &out, &failure, small), ExitDone)
+	is.Equal(Run([]string{"-replaces", "8"}, &out, &failure, smallComposition), ExitDone)
 	is.True(strings.Contains(out.String(), "Generation = 9"))
-	is.Equal(Run([]string{"-diff", "absent.ini"}, &out, &failure, small), ExitFailed)
-	is.Equal(Run([]string{"extra"}, &out, &failure, small), ExitUsage)
-	is.Equal(Run([]string{"-size"}, &out, &failure, small), ExitUsage)
+	is.Equal(Run([]string{"-diff", "absent.ini"}, &out, &failure, smallComposition), ExitFailed)
+	is.Equal(Run([]string{"extra"}, &out, &failure, smallComposition), ExitUsage)
+	is.Equal(Run([]string{"-size"}, &out, &failure, smallComposition), ExitUsage)
 }
 
 func ExampleComposition_Diff() {
-	old, err := small(0).Text()
+	old, err := smallComposition(0).Text()
 	if err != nil {
 		fmt.Println(err)
 	}
-	c := small(1)
+	c := smallComposition(1)
 	c.Weights(10, 4, 1)
 	diff, err := c.Diff(old)
 	fmt.Print(diff, err)
--- a/pkg/composer/program.go
+++ b/pkg/composer/program.go
@@ -10,16 +10,17 @@
 	"peridotpitch/internal/configurator"
 )
 
-// Exit codes of a program.
+// Exit codes returned by Run.
 const (
 	ExitDone   = 0
-	ExitFailed = 1 // faulty composition or unreadable file
-	ExitUsage  = 2
+	ExitFailed = 1 // invalid composition, unreadable file or failed output
+	ExitUsage  = 2 // invalid arguments
 )
 
-// Run executes an operator's program: it prints the text of what build returns, or with
-// -diff the differences from an earlier text. -replaces N makes it generation N+1; with
-// -diff the default of N is the earlier text's generation. It returns the exit code.
+// Run executes an operator's program and returns its exit code. It prints the text of the
+// composition that build returns, or with -diff FILE the differences from the earlier text in
+// the file. With -replaces N the composition has generation N+1. The default of N is 0, or
+// with -diff the generation of the earlier text.
 func Run(arguments []string, stdout, stderr io.Writer, build func(replaces uint64) *Composition) int {
 	fs := flag.NewFlagSet("composer", flag.ContinueOnError)
 	fs.SetOutput(stderr)
@@ -32,10 +33,10 @@
 		return ExitUsage
 	}
 	if fs.NArg() > 0 {
-		_, _ = fmt.Fprintf(stderr, "argument %q is too many; allowed: -replaces, -diff\n", fs.Arg(0))
+		_, _ = fmt.Fprintf(stderr, "unexpected argument %q; allowed: -replaces, -diff\n", fs.Arg(0))
 		return ExitUsage
 	}
-	output, err := produce(build, *replaces, *diff)
+	output, err := render(build, *replaces, *diff)
 	if err == nil {
 		_, err = stdout.Write(output)
 	}
@@ -46,7 +47,9 @@
 	return ExitDone
 }
 
-func produce(build func(uint64) *Composition, replaces uint64, diff string) ([]byte, error) {
+// render returns the text of the composition, or its differences from the text in the file
+// diff.
+func render(build func(uint64) *Composition, replaces uint64, diff string) ([]byte, error) {
 	if diff == "" {
 		return build(replaces).Text()
 	}
--- a/pkg/composer/size_test.go
+++ b/pkg/composer/size_test.go
@@ -13,9 +13,9 @@
 	"peridotpitch/internal/storer"
 )
 
-// large returns a composition of the size expected in two years: 990 workers in 6
-// failure domains, 200 teams.
-func large() *Composition {
+// largeComposition returns a composition of the size expected in two years, with 990 workers in
+// 6 failure domains and 200 teams.
+func largeComposition() *Composition {
 	c := New("Example Works", 0)
 	c.Weights(10, 3, 1)
 	instances := map[string]int{}
@@ -37,11 +37,11 @@
 	return c
 }
 
-// Guards against a configuration of the size expected in two years that the store
-// cannot hold.
+// Guards against a configuration that exceeds the store's value size at the size expected in
+// two years.
 func TestLargeFitsStore(t *testing.T) {
 	is := is.New(t)
-	text, err := large().Text()
+	text, err := largeComposition().Text()
 	is.NoErr(err)
 	value, err := json.Marshal(configurator.Record{Text: string(text), Signature: make([]byte, 64)})
 	is.NoErr(err)
@@ -52,7 +52,7 @@
 func BenchmarkText(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := large().Text(); err != nil {
+		if _, err := largeComposition().Text(); err != nil {
 			b.Fatal(err)
 		}
 	}
