--- a/scripts/check.sh
+++ b/scripts/check.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Formatter and linters. Prints every finding and fails if there is one.
+# Runs the formatter and the linters, prints all findings and fails if there are any.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 unformatted=$(go tool -modfile=tools.mod goimports -l $(git ls-files --cached --others --exclude-standard '*.go'))
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,9 +1,9 @@
 #!/usr/bin/env bash
-# Runs the whole system on loopback for under a minute: the platform stand-in, 8 workers and
-# 4 entry hosts in 2 failure domains as separate processes. Applies a signed configuration,
-# sends 4,000 requests, runs 100 jobs, prints latency by class, evictions and throughput,
-# explains one placement and stops everything. Set DEMO_PORT to move the ports (30 are
-# used), DEMO_KEEP=1 to keep the logs.
+# Runs the whole system on the loopback interface in less than a minute: an emulated platform,
+# 8 emulated workers and 4 entry hosts in 2 failure domains, as separate processes. Applies a
+# signed configuration, sends 4,000 requests, runs 100 jobs, prints latency by class,
+# evictions and throughput, explains one placement and stops all processes. DEMO_PORT sets the
+# first of the 30 ports, DEMO_KEEP=1 keeps the logs.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 started=$SECONDS
@@ -12,8 +12,7 @@
 pids=()
 names=()
 
-# stop ends the processes that this script started and whose names begin with $1. Entry
-# hosts stop before what they depend on.
+# stop PREFIX ends the processes of this script whose names begin with PREFIX.
 stop() {
   local i pid
   for i in "${!pids[@]}"; do
@@ -28,7 +27,7 @@
     done
     if kill -0 "$pid" 2>/dev/null; then
       echo "demo: ${names[i]} did not stop within 20 s, killing it" >&2
-      kill -QUIT "$pid" 2>/dev/null # writes its goroutines to the log; DEMO_KEEP=1 keeps it
+      kill -QUIT "$pid" 2>/dev/null # writes goroutine stacks to the log, which DEMO_KEEP=1 keeps
       sleep 1
       kill -KILL "$pid" 2>/dev/null
       failed=1
@@ -41,6 +40,7 @@
   done
 }
 
+# stop_all ends all processes, the entry hosts before the workers and the platform that they use.
 stop_all() {
   stop entry-
   stop workers-
@@ -66,7 +66,7 @@
 }
 trap finish EXIT
 
-# start NAME COMMAND... runs a process in the background with its output in NAME.log.
+# start NAME COMMAND... starts a background process that writes its output to NAME.log.
 start() {
   local name=$1
   shift
@@ -75,13 +75,13 @@
   names+=("$name")
 }
 
-# wait_line NAME TEXT waits until the process NAME printed TEXT.
+# wait_line NAME TEXT waits up to 10 s until the process NAME has printed TEXT.
 wait_line() {
   for _ in $(seq 200); do
     grep -q "$2" "$dir/$1.log" 2>/dev/null && return 0
     sleep 0.05
   done
-  echo "demo: $1 did not print \"$2\"" >&2
+  echo "demo: $1 did not print \"$2\" within 10 s" >&2
   return 1
 }
 
@@ -92,7 +92,7 @@
 
 platform=127.0.0.1:$port
 domains=(plovdiv haskovo)
-hosts=(entry-1 entry-2 entry-3 entry-4) # the first two in the first failure domain
+hosts=(entry-1 entry-2 entry-3 entry-4) # entry-1 and entry-2 are in the first failure domain
 domain_of() { echo "${domains[$((($1 - 1) / 2))]}"; }
 
 echo "== platform and workers"
@@ -171,7 +171,7 @@
 set +e
 stop_all
 if ! grep -q '^violations 0, overcommits 0, double starts 0, epoch conflicts 0$' "$dir/load.log"; then
-  echo "demo: the stand-ins saw violations" >&2
+  echo "demo: the stand-ins reported violations" >&2
   failed=1
 fi
 if [ "$failed" -eq 0 ]; then
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,14 +1,14 @@
 #!/usr/bin/env bash
-# The whole test command: formatter, linters, race-enabled tests with the seeded fuzz
-# corpus and bound checks. Tests listed in KNOWN-RED.txt are printed and passed over.
+# Runs the formatter, the linters and all tests with the race detector, including the fuzz
+# seeds and the checks of bounds. Tests listed in KNOWN-RED.txt are printed and skipped.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/check.sh
-red=$(awk -F' \\| ' '!/^#/ && NF > 1 {print $1}' KNOWN-RED.txt)
+known_failures=$(awk -F' \\| ' '!/^#/ && NF > 1 {print $1}' KNOWN-RED.txt)
 skip=()
-if [ -n "$red" ]; then
-  echo "known red, passed over:"
+if [ -n "$known_failures" ]; then
+  echo "known failures, skipped (KNOWN-RED.txt):"
   grep -v '^#' KNOWN-RED.txt
-  skip=(-skip "^($(echo "$red" | paste -sd'|' -))\$")
+  skip=(-skip "^($(echo "$known_failures" | paste -sd'|' -))\$")
 fi
 go test -race -count=1 -timeout 8m "${skip[@]}" ./...
