--- a/internal/surveyor/doc.go
+++ b/internal/surveyor/doc.go
@@ -1,8 +1,9 @@
-// Package surveyor measures how the cost of each part of an entry host grows with its
-// size, and works out from the slopes what an entry host and the platform's store need
-// at the size of two years from now. Its inputs are the same for the same seed. Its
-// figures of processor time depend on the machine: they are printed, never judged.
+// Package surveyor measures how the processor time, memory and traffic of each part of an
+// entry host grow with the size of its inputs. From the slopes it estimates the needs of an
+// entry host and of the platform's store at the deployment size expected in two years. The
+// inputs depend only on the seed. The measured processor times depend on the machine, so
+// they are printed but no test checks them.
 //
-// Lock order: the counting store's mutex is the only one. It is not held while another
-// package is called.
+// Lock order: the counting store's mutex is the only lock. It is not held during calls to
+// other packages.
 package surveyor
--- a/internal/surveyor/estimate.go
+++ b/internal/surveyor/estimate.go
@@ -10,110 +10,112 @@
 	"peridotpitch/internal/storer"
 )
 
-// Limits of section 1.6 of the design page for control on each node, and of section 1.3
-// for the store.
+// Limits of section 1.6 of the design page for the control traffic, processor time and heap
+// of each host, and of section 1.3 for the store.
 const (
-	limitCore  = 4.9                 // percent of a core
-	limitHeap  = 256_000_000         // bytes
-	limitBytes = 23_000              // per second
-	storeReads = 2000                // per second
-	storeValue = storer.MaxValueSize // bytes
-	// storeWrites is the low end of "several hundred" writes per second.
-	storeWrites = 300
+	maxCorePercent         = 4.9
+	maxHeapBytes           = 256_000_000
+	maxBytesPerSecond      = 23_000
+	maxStoreReadsPerSecond = 2000
+	maxStoreValueBytes     = storer.MaxValueSize
+	// maxStoreWritesPerSecond is the low end of the design's "several hundred" writes per second.
+	maxStoreWritesPerSecond = 300
 )
 
-// Periods of messages. Those of heartbeats are in section 4.5 of the design page.
+// Rates of messages. Section 4.5 of the design page states the rates of heartbeats.
 const (
-	nearPerSecond      = 2.0      // heartbeats to each peer of the failure domain
-	farPerSecond       = 1.0      // heartbeats to each other peer
-	reportsPerSecond   = 1.0      // of each worker
-	configPerSecond    = 0.5      // reads of the configuration
-	configWatches      = 1.0 / 20 // per second, without a change
-	hostListsPerSecond = 0.5      // reads of the platform's host list
-	predecessorLists   = 1.0 / 10 // per second, at a JobRecoveryDelay of 60 s
-	perDay             = 24 * 60 * 60.0
-	operatorLists      = 1.0 / 60 // lists of all jobs per second that one host answers
+	nearHeartbeatsPerSecond   = 2.0      // to each peer of the same failure domain
+	farHeartbeatsPerSecond    = 1.0      // to each peer of other failure domains
+	reportsPerSecond          = 1.0      // of each worker
+	configReadsPerSecond      = 0.5      // of the configuration by each entry host
+	configWatchesPerSecond    = 1.0 / 20 // of the configuration by each entry host, without a change
+	hostListReadsPerSecond    = 0.5      // of the platform's host list by each entry host
+	predecessorListsPerSecond = 1.0 / 10 // of the predecessor domain's journals by each entry host, at a JobRecoveryDelay of 60 s
+	secondsPerDay             = 24 * 60 * 60.0
+	operatorListsPerSecond    = 1.0 / 60 // of all jobs by operators at each entry host
 )
 
-// usage is what a role needs on one entry host.
-type usage struct {
-	Role  string
-	State float64 // bytes of the role's tables, encoded or as heap
-	Calls float64 // per second, sent and received; an answer is not counted by itself
-	Bytes float64 // per second, sent and received
-	Core  float64 // percent of one core
-	Heap  float64 // bytes
+// roleUsage holds the needs of one role of an entry host, for example slot grants.
+type roleUsage struct {
+	Role           string
+	StateBytes     float64 // bytes of the role's tables, encoded or as heap
+	CallsPerSecond float64 // sent and received; a call and its answer count once
+	BytesPerSecond float64 // sent and received
+	CorePercent    float64 // percent of one core
+	HeapBytes      float64
 }
 
-// demand is what the system needs with a number of entry hosts.
-type demand struct {
+// systemUsage holds the needs of a deployment with a number of entry hosts.
+type systemUsage struct {
 	Hosts, Shards  int
-	Peak           bool
-	Requests       usage   // not part of control
-	Control        []usage // the other roles
-	Store          storeDemand
-	Worker         usage // the part of control that one worker sees
-	JournalSize    float64
-	ConfigSize     float64 // bytes of text
-	HeartbeatSize  float64 // bytes, within a failure domain, with claims and notices
-	AnswerSize     float64 // bytes, with endpoints and grants
-	StartsPerShard float64
-}
-
-type storeDemand struct{ State, Writes, Reads, BytesIn, BytesOut, Largest float64 }
-
-// total adds up the roles of control.
-func (d demand) total() usage {
-	t := usage{Role: "control together"}
+	Peak           bool        // at the peak of starts, otherwise on average over a day
+	Requests       roleUsage   // not part of control
+	Control        []roleUsage // the other roles
+	Store          storeUsage
+	Worker         roleUsage // control traffic of one worker
+	JournalBytes   float64   // of one shard
+	ConfigBytes    float64   // of the configuration's text
+	HeartbeatBytes float64   // of a heartbeat within a failure domain, with claims and notices
+	AnswerBytes    float64   // of its answer's endpoints and grants
+	StartsPerShard float64   // per second
+}
+
+// storeUsage holds the load on the platform's store.
+type storeUsage struct{ StateBytes, WritesPerSecond, ReadsPerSecond, InBytesPerSecond, OutBytesPerSecond, MaxValueBytes float64 }
+
+// total returns the sum of the control roles.
+func (d systemUsage) total() roleUsage {
+	t := roleUsage{Role: "control together"}
 	for _, u := range d.Control {
-		t.State += u.State
-		t.Calls += u.Calls
-		t.Bytes += u.Bytes
-		t.Core += u.Core
-		t.Heap += u.Heap
+		t.StateBytes += u.StateBytes
+		t.CallsPerSecond += u.CallsPerSecond
+		t.BytesPerSecond += u.BytesPerSecond
+		t.CorePercent += u.CorePercent
+		t.HeapBytes += u.HeapBytes
 	}
 	return t
 }
 
-// changes are changes of the program whose effect is worked out. None is made yet.
-type changes struct {
-	renewalKey    bool // renewals are written to a small key, and hosts watch only these
-	journalLog    bool // a write of the journal carries only what has changed
-	reportDeltas  bool // a report lists only the tasks that have changed
-	workerLeases  bool // one renewal for all tasks of a worker
-	endpointDelta bool // endpoints are sent when they have changed
-	configKey     bool // the generation is read from a small key
-	listPages     bool // operators' lists come in pages
+// optimizations selects possible optimizations whose effect is estimated. The program has none
+// of them yet.
+type optimizations struct {
+	renewalKey    bool // ownership renewals are written to a small key, and hosts watch only these keys
+	journalLog    bool // a journal write contains only the changes
+	reportDeltas  bool // a report lists only changed tasks
+	workerLeases  bool // one lease renewal for all tasks of a worker
+	endpointDelta bool // endpoints are sent only when they have changed
+	configKey     bool // hosts poll a small key with the generation
+	listPages     bool // operators' lists are paginated
 }
 
-// What the changes assume.
+// Assumptions of the optimizations.
 const (
-	renewalSize      = 500.0 // bytes
-	compactionPeriod = 60.0  // seconds between full journals
-	changesPerStart  = 4.0   // pending, starting, running, ended
-	changedTasks     = 0.05  // share of tasks in a report that lists changes
-	generationSize   = 200.0 // bytes
-	pageSize         = 500.0 // jobs
+	renewalBytes            = 500.0 // value of an ownership renewal
+	compactionPeriodSeconds = 60.0  // between two full journals
+	journalChangesPerStart  = 4.0   // pending, starting, running, ended
+	changedTaskShare        = 0.05  // of a worker's tasks in a report that lists only changes
+	generationBytes         = 200.0 // value of the key with the generation
+	jobsPerPage             = 500.0
 )
 
-// model works out demands from measured series.
+// model estimates the needs of a deployment from measured series.
 type model struct {
-	size    Size
-	series  map[string]Series
-	missing map[string]bool // names that were asked for and not measured
-	changes changes
+	deployment    Deployment
+	series        map[string]Series
+	missing       map[string]bool // names of series that were looked up but not measured
+	optimizations optimizations
 }
 
-func newModel(s Size, all []Series) model {
-	m := model{size: s, series: make(map[string]Series, len(all)), missing: make(map[string]bool)}
+func newModel(s Deployment, all []Series) model {
+	m := model{deployment: s, series: make(map[string]Series, len(all)), missing: make(map[string]bool)}
 	for _, x := range all {
 		m.series[x.Name] = x
 	}
 	return m
 }
 
-// get returns a series and notes if it is missing.
-func (m model) get(name string) Series {
+// lookup returns a series, and records its name as missing if it has no samples.
+func (m model) lookup(name string) Series {
 	s, ok := m.series[name]
 	if !ok || len(s.Samples) == 0 {
 		m.missing[name] = true
@@ -121,10 +123,10 @@
 	return s
 }
 
-// scaled returns the model of a deployment that is larger by a factor in everything but
-// its failure domains, its services and the size of its shards.
+// scaled returns the model of a deployment that is larger by a factor. The numbers of failure
+// domains and services, the size of shards and the requests per entry host stay.
 func (m model) scaled(by float64) model {
-	z := &m.size
+	z := &m.deployment
 	for _, n := range []*int{&z.Workers, &z.Accelerators, &z.Batch, &z.Instances, &z.Teams, &z.RestartedHosts} {
 		*n = max(1, int(math.Round(float64(*n)*by)))
 	}
@@ -134,21 +136,25 @@
 	return m
 }
 
-func (m model) time(name string, x float64) float64 {
-	return max(0, m.get(name).Fit(timeOf).At(x))
+// timeAt returns the processor time in microseconds at x on a series' fitted line.
+func (m model) timeAt(name string, x float64) float64 {
+	return max(0, m.lookup(name).Fit(timeOf).At(x))
 }
 
-func (m model) bytes(name string, x float64) float64 {
-	return max(0, m.get(name).Fit(bytesOf).At(x))
+// bytesAt returns the bytes at x on a series' fitted line.
+func (m model) bytesAt(name string, x float64) float64 {
+	return max(0, m.lookup(name).Fit(bytesOf).At(x))
 }
 
-func (m model) count(name string, x float64) float64 {
-	return max(0, m.get(name).Fit(countOf).At(x))
+// countAt returns the count at x on a series' fitted line.
+func (m model) countAt(name string, x float64) float64 {
+	return max(0, m.lookup(name).Fit(countOf).At(x))
 }
 
-// between reads a value off the measured points, for figures that level off.
-func (m model) between(name string, x float64, field func(Sample) float64) float64 {
-	ss := m.get(name).Samples
+// interpolate returns a field at x by linear interpolation between the samples, for quantities
+// that do not grow linearly.
+func (m model) interpolate(name string, x float64, field func(Sample) float64) float64 {
+	ss := m.lookup(name).Samples
 	if len(ss) == 0 {
 		return 0
 	}
@@ -160,308 +166,321 @@
 	return field(ss[len(ss)-1])
 }
 
-// percent converts microseconds per second to a share of a core.
-func percent(microseconds float64) float64 { return microseconds / 1e6 * 100 }
+// corePercent converts microseconds of processor time per second to percent of a core.
+func corePercent(microseconds float64) float64 { return microseconds / 1e6 * 100 }
 
-// measuredTeams is the number of teams in the configurations measured by workers.
+// measuredTeams is the number of teams in the configurations of the series configByWorkers.
 const measuredTeams = 200
 
-// layout is how workers and hosts are divided.
+// layout is the distribution of shards, workers and starts over the entry hosts.
 type layout struct {
-	hosts, shards               float64
-	nearPeers, farPeers         float64
-	hostsPerDomain              float64
-	shardsPerHost, shardsDomain float64
-	workersPerShard             float64
-	starts                      float64 // per second and shard
+	hosts, shards                  float64
+	nearPeers, farPeers            float64 // other entry hosts in the same and in other failure domains
+	hostsPerDomain                 float64
+	shardsPerHost, shardsPerDomain float64
+	workersPerShard                float64
+	startsPerSecond                float64 // of each shard
 }
 
 func (m model) layout(hosts int, peak bool) layout {
-	z := m.size
+	z := m.deployment
 	d := float64(z.Domains)
 	shardsDomain := math.Ceil(float64(z.Workers) / d / float64(z.ShardWorkers))
 	l := layout{
-		hosts: float64(hosts), shards: shardsDomain * d, hostsPerDomain: float64(hosts) / d, shardsDomain: shardsDomain,
+		hosts: float64(hosts), shards: shardsDomain * d, hostsPerDomain: float64(hosts) / d, shardsPerDomain: shardsDomain,
 		shardsPerHost: shardsDomain * d / float64(hosts), workersPerShard: float64(z.Workers) / d / shardsDomain,
-		starts: z.JobsPerDay / perDay / (shardsDomain * d),
+		startsPerSecond: z.JobsPerDay / secondsPerDay / (shardsDomain * d),
 	}
 	l.nearPeers = l.hostsPerDomain - 1
 	l.farPeers = l.hosts - l.hostsPerDomain
 	if peak {
-		l.starts = z.StartsPeak / l.shards
+		l.startsPerSecond = z.StartsPeak / l.shards
 	}
 	return l
 }
 
-// estimate returns what is needed with a number of entry hosts, on average over a day or
-// at the peak of starts.
-func (m model) estimate(hosts int, peak bool) demand {
+// estimate returns the needs with a number of entry hosts, on average over a day or at the
+// peak of starts.
+func (m model) estimate(hosts int, peak bool) systemUsage {
 	l := m.layout(hosts, peak)
-	journal, writes := m.journalSize(l), m.between(shardByStarts, l.starts, countOf)
-	if peak { // ended jobs stay until they are in the records
-		journal += m.between(shardByStarts, l.starts, bytesOf) - m.between(shardByStarts, 0, bytesOf)
+	journal, writes := m.journalBytes(l), m.interpolate(shardSecondByStarts, l.startsPerSecond, countOf)
+	if peak { // the journal keeps ended jobs until they are in the job history
+		journal += m.interpolate(shardSecondByStarts, l.startsPerSecond, bytesOf) - m.interpolate(shardSecondByStarts, 0, bytesOf)
 	}
 	traffic := m.journalTraffic(l, journal, writes)
-	d := demand{Hosts: hosts, Shards: int(l.shards), Peak: peak, JournalSize: journal, StartsPerShard: l.starts}
-	d.ConfigSize = m.bytes(configByWorkers, float64(m.size.Workers)) +
-		m.get(configByTeams).Fit(bytesOf).Slope*float64(m.size.Teams-measuredTeams)
-	owning := m.owning(l, journal, traffic)
-	heartbeats, size := m.heartbeats(l)
-	slots, answer := m.slots(l)
-	following, configReads := m.following(d.ConfigSize)
-	d.HeartbeatSize, d.AnswerSize = size, answer
-	d.Requests = m.requests()
-	d.Control = []usage{owning, heartbeats, following, slots, m.recording(l), m.operators()}
-	d.Store = m.store(l, journal, traffic, d.ConfigSize)
-	d.Store.BytesOut = l.hosts * (traffic.read + configReads)
-	commands := m.commands(l)
-	d.Worker = usage{
-		Role: "one worker", Calls: reportsPerSecond + m.messages(l)/l.workersPerShard,
-		Bytes: reportsPerSecond*m.reportSize() + commands/l.workersPerShard*m.get(commandsByCount).Fit(bytesOf).Slope,
+	d := systemUsage{Hosts: hosts, Shards: int(l.shards), Peak: peak, JournalBytes: journal, StartsPerShard: l.startsPerSecond}
+	d.ConfigBytes = m.bytesAt(configByWorkers, float64(m.deployment.Workers)) +
+		m.lookup(configByTeams).Fit(bytesOf).Slope*float64(m.deployment.Teams-measuredTeams)
+	owning := m.shardOwnership(l, journal, traffic)
+	heartbeats, size := m.membershipHeartbeats(l)
+	slots, answer := m.slotGrants(l)
+	following, configReads := m.configurationFollowing(d.ConfigBytes)
+	d.HeartbeatBytes, d.AnswerBytes = size, answer
+	d.Requests = m.requestRouting()
+	d.Control = []roleUsage{owning, heartbeats, following, slots, m.decisionRecords(l), m.operatorInterface()}
+	d.Store = m.storeUsage(l, journal, traffic, d.ConfigBytes)
+	d.Store.OutBytesPerSecond = l.hosts * (traffic.bytesRead + configReads)
+	commands := m.commandsPerSecond(l)
+	d.Worker = roleUsage{
+		Role: "one worker", CallsPerSecond: reportsPerSecond + m.messagesPerSecond(l)/l.workersPerShard,
+		BytesPerSecond: reportsPerSecond*m.reportBytes() + commands/l.workersPerShard*m.lookup(renewalMessageByCount).Fit(bytesOf).Slope,
 	}
 	return d
 }
 
-func (m model) journalSize(l layout) float64 {
-	return m.bytes(journalByJobs, float64(m.size.Batch)/l.shards) +
-		m.get(journalByInstances).Fit(bytesOf).Slope*float64(m.size.Instances)/l.shards
+// journalBytes returns the size of a shard's journal.
+func (m model) journalBytes(l layout) float64 {
+	return m.bytesAt(journalEncodeByJobs, float64(m.deployment.Batch)/l.shards) +
+		m.lookup(journalEncodeByInstances).Fit(bytesOf).Slope*float64(m.deployment.Instances)/l.shards
 }
 
-// commands returns the commands per second of a shard.
-func (m model) commands(l layout) float64 {
-	renewals := m.count(shardByWorkers+commandsOf, l.workersPerShard)
-	if m.changes.workerLeases {
-		renewals = m.count(shardByWorkers+messagesOf, l.workersPerShard)
+// commandsPerSecond returns the commands that a shard sends to workers per second.
+func (m model) commandsPerSecond(l layout) float64 {
+	renewals := m.countAt(shardSecondByWorkers+commandsSuffix, l.workersPerShard)
+	if m.optimizations.workerLeases {
+		renewals = m.countAt(shardSecondByWorkers+messagesSuffix, l.workersPerShard)
 	}
-	return renewals + m.between(shardByStarts+commandsOf, l.starts, countOf) - m.between(shardByStarts+commandsOf, 0, countOf)
+	return renewals + m.interpolate(shardSecondByStarts+commandsSuffix, l.startsPerSecond, countOf) - m.interpolate(shardSecondByStarts+commandsSuffix, 0, countOf)
 }
 
-// messages returns the messages with commands per second of a shard.
-func (m model) messages(l layout) float64 {
-	idle := m.between(shardByStarts+messagesOf, 0, countOf)
-	return m.count(shardByWorkers+messagesOf, l.workersPerShard) + m.between(shardByStarts+messagesOf, l.starts, countOf) - idle
+// messagesPerSecond returns the messages with commands that a shard sends per second.
+func (m model) messagesPerSecond(l layout) float64 {
+	idle := m.interpolate(shardSecondByStarts+messagesSuffix, 0, countOf)
+	return m.countAt(shardSecondByWorkers+messagesSuffix, l.workersPerShard) + m.interpolate(shardSecondByStarts+messagesSuffix, l.startsPerSecond, countOf) - idle
 }
 
 func (m model) tasksPerWorker() float64 {
-	return float64(m.size.Batch+m.size.Instances) / float64(m.size.Workers)
+	return float64(m.deployment.Batch+m.deployment.Instances) / float64(m.deployment.Workers)
 }
 
-// reported returns the number of tasks in a report.
-func (m model) reported() float64 {
-	if m.changes.reportDeltas {
-		return changedTasks * m.tasksPerWorker()
+// tasksPerReport returns the number of tasks in a worker's report.
+func (m model) tasksPerReport() float64 {
+	if m.optimizations.reportDeltas {
+		return changedTaskShare * m.tasksPerWorker()
 	}
 	return m.tasksPerWorker()
 }
 
-func (m model) reportSize() float64 { return m.bytes(reportByTasks, m.reported()) }
+func (m model) reportBytes() float64 { return m.bytesAt(reportDecodeByTasks, m.tasksPerReport()) }
 
-// journalTraffic is what a shard's journal costs per second.
+// journalTraffic holds rates per second: writes, bytesWritten and encodings of the owner of one
+// shard; valuesRead, bytesRead and decodings of a host that follows the journals of several
+// shards.
 type journalTraffic struct {
-	writes  float64 // calls of the owner
-	written float64 // bytes sent by the owner
-	encoded float64 // full journals encoded, and parts of them
-	values  float64 // values that one host reads, of all shards that it follows
-	read    float64 // bytes that it reads
-	decoded float64 // full journals decoded, and parts of them
+	writes       float64
+	bytesWritten float64
+	encodings    float64 // in full journals; a part of a journal counts as a fraction
+	valuesRead   float64
+	bytesRead    float64
+	decodings    float64 // in full journals; a part of a journal counts as a fraction
 }
 
-// journalTraffic works out the traffic of one shard's owner, and of a host that follows
-// all shards of its failure domain and lists those of its predecessor.
+// journalTraffic estimates the journal traffic of a shard's owner, and of a host that follows
+// all shards of its failure domain and lists the shards of the predecessor domain.
 func (m model) journalTraffic(l layout, journal, writes float64) journalTraffic {
-	full, changed := writes, min(writes, changesPerStart*l.starts)
-	sent := m.bytes(envelopeEncode, journal)
-	t := journalTraffic{writes: writes, written: full * sent, encoded: full}
-	events := m.readShare(l) * l.shardsDomain // that a host reads for each write
-	t.values = events*full + predecessorLists*l.shardsDomain
-	t.read, t.decoded = t.values*sent, t.values
-	if m.changes.renewalKey {
-		small := m.bytes(envelopeEncode, renewalSize)
-		t.writes, t.written, t.encoded = 1+changed, small+changed*sent, changed
-		t.values = events + predecessorLists*l.shardsDomain
-		t.read, t.decoded = t.values*small, t.values*renewalSize/journal
+	full, changed := writes, min(writes, journalChangesPerStart*l.startsPerSecond)
+	sent := m.bytesAt(storeCallEncode, journal)
+	t := journalTraffic{writes: writes, bytesWritten: full * sent, encodings: full}
+	events := m.journalReadRatio(l) * l.shardsPerDomain // read by a host while each shard is written once
+	t.valuesRead = events*full + predecessorListsPerSecond*l.shardsPerDomain
+	t.bytesRead, t.decodings = t.valuesRead*sent, t.valuesRead
+	if m.optimizations.renewalKey {
+		small := m.bytesAt(storeCallEncode, renewalBytes)
+		t.writes, t.bytesWritten, t.encodings = 1+changed, small+changed*sent, changed
+		t.valuesRead = events + predecessorListsPerSecond*l.shardsPerDomain
+		t.bytesRead, t.decodings = t.valuesRead*small, t.valuesRead*renewalBytes/journal
 	}
-	if m.changes.journalLog && m.changes.renewalKey {
-		entry := m.get(journalByJobs).Fit(bytesOf).Slope
-		parts := changesPerStart * l.starts * entry
-		t.written = m.bytes(envelopeEncode, renewalSize)*(1+changed) + parts*m.get(envelopeEncode).Fit(bytesOf).Slope + sent/compactionPeriod
-		t.encoded = parts/journal + 1/compactionPeriod
-		t.writes += 1 / compactionPeriod
+	if m.optimizations.journalLog && m.optimizations.renewalKey {
+		entry := m.lookup(journalEncodeByJobs).Fit(bytesOf).Slope
+		parts := journalChangesPerStart * l.startsPerSecond * entry
+		t.bytesWritten = m.bytesAt(storeCallEncode, renewalBytes)*(1+changed) + parts*m.lookup(storeCallEncode).Fit(bytesOf).Slope + sent/compactionPeriodSeconds
+		t.encodings = parts/journal + 1/compactionPeriodSeconds
+		t.writes += 1 / compactionPeriodSeconds
 	}
 	return t
 }
 
-// owning returns the needs of the owner of shards.
-func (m model) owning(l layout, journal float64, t journalTraffic) usage {
-	jobs := float64(m.size.Batch) / l.shards
-	perJob := journal / m.bytes(journalByJobs, jobs) // instances and ended jobs included
+// shardOwnership returns the needs of owning shards and placing their tasks.
+func (m model) shardOwnership(l layout, journal float64, t journalTraffic) roleUsage {
+	jobs := float64(m.deployment.Batch) / l.shards
+	// The size of the journal relative to a measured one, which has no instances and ended jobs.
+	journalRatio := journal / m.bytesAt(journalEncodeByJobs, jobs)
 	workers := l.workersPerShard * l.shardsPerHost
-	messages, commands := m.messages(l), m.commands(l)
-	command := m.get(commandsByCount).Fit(timeOf).Slope
-	call := m.smallCall()
-	storeCalls := l.shardsPerHost*t.writes + m.watches(l) + predecessorLists
-	// The measured second of a shard holds the encoding of its journal and the handling
-	// of its reports.
-	second := m.time(shardByWorkers, l.workersPerShard) + m.between(shardByStarts, l.starts, timeOf) - m.between(shardByStarts, 0, timeOf)
-	second -= (m.between(shardByStarts, l.starts, countOf) - t.encoded) * m.time(journalByJobs, jobs) * perJob
-	second -= l.workersPerShard * reportsPerSecond * (m.time(reportStepByTasks, m.tasksPerWorker()) - m.time(reportStepByTasks, m.reported()))
-	return usage{
-		Role: "owning shards and placing", State: l.shardsPerHost * journal,
-		Calls: workers*reportsPerSecond + l.shardsPerHost*messages + storeCalls,
-		Bytes: workers*reportsPerSecond*m.reportSize() + l.shardsPerHost*(commands*m.get(commandsByCount).Fit(bytesOf).Slope+t.written) + t.read,
-		Core: percent(l.shardsPerHost*max(0, second) + workers*reportsPerSecond*m.time(reportCallByTasks, m.reported()) +
+	messages, commands := m.messagesPerSecond(l), m.commandsPerSecond(l)
+	command := m.lookup(renewalMessageByCount).Fit(timeOf).Slope
+	call := m.shortCallTime()
+	storeCalls := l.shardsPerHost*t.writes + m.journalReadCalls(l) + predecessorListsPerSecond
+	// The measured second of a shard includes the encoding of its journal and the handling
+	// of its workers' reports. Subtract what the optimizations save.
+	second := m.timeAt(shardSecondByWorkers, l.workersPerShard) + m.interpolate(shardSecondByStarts, l.startsPerSecond, timeOf) - m.interpolate(shardSecondByStarts, 0, timeOf)
+	second -= (m.interpolate(shardSecondByStarts, l.startsPerSecond, countOf) - t.encodings) * m.timeAt(journalEncodeByJobs, jobs) * journalRatio
+	second -= l.workersPerShard * reportsPerSecond * (m.timeAt(reportStepByTasks, m.tasksPerWorker()) - m.timeAt(reportStepByTasks, m.tasksPerReport()))
+	return roleUsage{
+		Role: "owning shards and placing", StateBytes: l.shardsPerHost * journal,
+		CallsPerSecond: workers*reportsPerSecond + l.shardsPerHost*messages + storeCalls,
+		BytesPerSecond: workers*reportsPerSecond*m.reportBytes() + l.shardsPerHost*(commands*m.lookup(renewalMessageByCount).Fit(bytesOf).Slope+t.bytesWritten) + t.bytesRead,
+		CorePercent: corePercent(l.shardsPerHost*max(0, second) + workers*reportsPerSecond*m.timeAt(reportCallByTasks, m.tasksPerReport()) +
 			l.shardsPerHost*(messages*call+commands*command) + storeCalls*call +
-			l.shardsPerHost*t.written*m.get(envelopeEncode).Fit(timeOf).Slope +
-			t.read*m.get(envelopeDecode).Fit(timeOf).Slope + t.decoded*m.time(journalDecode, jobs)*perJob),
-		// Twice the journals: of this failure domain and of the predecessor.
-		Heap: l.shardsPerHost*m.bytes(shardHeapByWorkers, l.workersPerShard) + 2*l.shardsDomain*m.bytes(journalHeapByJobs, jobs),
+			l.shardsPerHost*t.bytesWritten*m.lookup(storeCallEncode).Fit(timeOf).Slope +
+			t.bytesRead*m.lookup(storeCallDecode).Fit(timeOf).Slope + t.decodings*m.timeAt(journalDecodeByJobs, jobs)*journalRatio),
+		// The journals of this failure domain and of the predecessor.
+		HeapBytes: l.shardsPerHost*m.bytesAt(shardHeapByWorkers, l.workersPerShard) + 2*l.shardsPerDomain*m.bytesAt(journalHeapByJobs, jobs),
 	}
 }
 
-// smallCall returns the processor time of a call over HTTP with a short body.
-func (m model) smallCall() float64 { return m.time(reportCallByTasks, 0) }
+// shortCallTime returns the processor time of a call over HTTP with a short body.
+func (m model) shortCallTime() float64 { return m.timeAt(reportCallByTasks, 0) }
 
-// readShare returns how many of the values written in its failure domain one host reads.
-func (m model) readShare(l layout) float64 {
+// journalReadRatio returns the share of the journal bytes written in its failure domain that
+// one host reads.
+func (m model) journalReadRatio(l layout) float64 {
 	name := readBytesByHosts
-	if l.starts >= 1 {
+	if l.startsPerSecond >= 1 {
 		name += ", while jobs start"
 	}
-	return m.count(name, l.hostsPerDomain) / l.hostsPerDomain
-}
-
-// watches returns the calls of one host that follow its failure domain's journals.
-func (m model) watches(l layout) float64 {
-	return m.count(callsIdleByHosts+": reads", l.hostsPerDomain) / l.hostsPerDomain
-}
-
-// heartbeats returns the needs of membership: identity, notices, claims and promises.
-func (m model) heartbeats(l layout) (u usage, size float64) {
-	notices := m.count(noticesHeld, float64(m.size.RestartedHosts))
-	size = m.bytes(heartbeatByShards, l.shardsPerHost) + m.get(heartbeatByNotices).Fit(bytesOf).Slope*notices
-	took := m.time(heartbeatByShards, l.shardsPerHost) + m.get(heartbeatByNotices).Fit(timeOf).Slope*notices
-	begun := nearPerSecond*l.nearPeers + farPerSecond*l.farPeers
-	// A host begins as many exchanges as it answers. Both messages of an exchange have
-	// about the same size: promises answer claims.
-	return usage{
-		Role: "membership heartbeats", State: size, Calls: 2 * begun, Bytes: 4 * begun * size,
-		Core: percent(2 * begun * took), Heap: m.bytes(registrarHeap, notices),
+	return m.countAt(name, l.hostsPerDomain) / l.hostsPerDomain
+}
+
+// journalReadCalls returns the store calls per second with which one host follows its failure
+// domain's journals.
+func (m model) journalReadCalls(l layout) float64 {
+	return m.countAt(callsIdleByHosts+": reads", l.hostsPerDomain) / l.hostsPerDomain
+}
+
+// membershipHeartbeats returns the needs of heartbeats with identity, notices, claims and
+// promises, and the size of one.
+func (m model) membershipHeartbeats(l layout) (u roleUsage, size float64) {
+	notices := m.countAt(noticesByRestartedHosts, float64(m.deployment.RestartedHosts))
+	size = m.bytesAt(heartbeatByShards, l.shardsPerHost) + m.lookup(heartbeatByNotices).Fit(bytesOf).Slope*notices
+	took := m.timeAt(heartbeatByShards, l.shardsPerHost) + m.lookup(heartbeatByNotices).Fit(timeOf).Slope*notices
+	begun := nearHeartbeatsPerSecond*l.nearPeers + farHeartbeatsPerSecond*l.farPeers
+	// A host sends as many heartbeats as it answers. A heartbeat and its answer have about
+	// the same size, because the answer has a promise for each claim.
+	return roleUsage{
+		Role: "membership heartbeats", StateBytes: size, CallsPerSecond: 2 * begun, BytesPerSecond: 4 * begun * size,
+		CorePercent: corePercent(2 * begun * took), HeapBytes: m.bytesAt(registrarHeap, notices),
 	}, size
 }
 
-// slots returns the needs of demand, endpoints and grants, which near heartbeats carry.
-func (m model) slots(l layout) (u usage, answer float64) {
-	domain := float64(m.size.Instances) / float64(m.size.Domains)
-	each := domain / l.hostsPerDomain // instances whose slots one host grants
-	begun := nearPerSecond * l.nearPeers
-	demandSize := m.get(demandByInstances).Fit(bytesOf).Slope * each
+// slotGrants returns the needs of slot demand, endpoints and grants in the heartbeats within a
+// failure domain, and the size of an answer.
+func (m model) slotGrants(l layout) (u roleUsage, answer float64) {
+	domain := float64(m.deployment.Instances) / float64(m.deployment.Domains)
+	granted := domain / l.hostsPerDomain // instances whose slots one host grants
+	begun := nearHeartbeatsPerSecond * l.nearPeers
+	demandSize := m.lookup(demandByInstances).Fit(bytesOf).Slope * granted
 	name := grantsByInstances
-	if m.changes.endpointDelta {
-		name = grantsOnly
+	if m.optimizations.endpointDelta {
+		name = grantsWithoutEndpoints
 	}
-	answer = m.bytes(name, each)
-	took := m.time(name, each) + m.get(demandByInstances).Fit(timeOf).Slope*each
-	return usage{
-		Role: "slot grants", State: l.nearPeers * answer, Bytes: 2 * begun * (demandSize + answer),
-		Core: percent(begun * took), Heap: m.bytes(allocatorHeap, each),
+	answer = m.bytesAt(name, granted)
+	took := m.timeAt(name, granted) + m.lookup(demandByInstances).Fit(timeOf).Slope*granted
+	return roleUsage{
+		Role: "slot grants", StateBytes: l.nearPeers * answer, BytesPerSecond: 2 * begun * (demandSize + answer),
+		CorePercent: corePercent(begun * took), HeapBytes: m.bytesAt(allocatorHeap, granted),
 	}, answer
 }
 
-// following returns the needs of following the configuration, and the bytes read.
-func (m model) following(text float64) (u usage, reads float64) {
-	changes := m.size.ConfigurationsPerDay / perDay
-	value := m.bytes(envelopeEncode, text) // of the text; the record's other fields are below 1 KB
-	calls := configPerSecond + configWatches + hostListsPerSecond + changes
-	full, small := configPerSecond+changes, 0.0
-	if m.changes.configKey {
-		full, small = changes, configPerSecond
+// configurationFollowing returns the needs of following the configuration, and the bytes read
+// per second.
+func (m model) configurationFollowing(text float64) (u roleUsage, reads float64) {
+	changes := m.deployment.ConfigurationsPerDay / secondsPerDay
+	value := m.bytesAt(storeCallEncode, text) // the record's other fields have less than 1 KB
+	calls := configReadsPerSecond + configWatchesPerSecond + hostListReadsPerSecond + changes
+	full, small := configReadsPerSecond+changes, 0.0
+	if m.optimizations.configKey {
+		full, small = changes, configReadsPerSecond
 	}
-	reads = full*value + small*generationSize
-	return usage{
-		Role: "configuration following", State: text, Calls: calls, Bytes: reads,
-		Core: percent(calls*m.smallCall() + full*m.time(envelopeDecode, text) + changes*m.time(configByWorkers, float64(m.size.Workers))),
-		// The configuration in effect, the next one, and the text of both.
-		Heap: 2 * (m.bytes(configHeapByWorkers, float64(m.size.Workers)) + text),
+	reads = full*value + small*generationBytes
+	return roleUsage{
+		Role: "configuration following", StateBytes: text, CallsPerSecond: calls, BytesPerSecond: reads,
+		CorePercent: corePercent(calls*m.shortCallTime() + full*m.timeAt(storeCallDecode, text) + changes*m.timeAt(configByWorkers, float64(m.deployment.Workers))),
+		// The configuration in effect and the next one, each with its text.
+		HeapBytes: 2 * (m.bytesAt(configHeapByWorkers, float64(m.deployment.Workers)) + text),
 	}, reads
 }
 
-func (m model) recording(l layout) usage {
-	// The record of a start with its candidates; the measured drive has all the records
-	// that starts cause.
-	perSecond := l.shardsPerHost*m.between(shardByStarts+recordsOf, l.starts, countOf) + m.size.RoutingDecisionsPerHost
-	size := m.bytes(recordByCandidates, 5)
+// decisionRecords returns the needs of recording decisions.
+func (m model) decisionRecords(l layout) roleUsage {
+	// All records are counted with the size of a start's record, which has candidates.
+	perSecond := l.shardsPerHost*m.interpolate(shardSecondByStarts+recordsSuffix, l.startsPerSecond, countOf) + m.deployment.RoutingDecisionsPerHost
+	size := m.bytesAt(recordByCandidates, 5)
 	held := min(recorder.DefaultMaxRecords, recorder.DefaultMaxBytes/size)
-	return usage{
-		Role: "decision records", State: held * size,
-		Core: percent(perSecond * m.time(recordByCandidates, 5)), Heap: m.bytes(recorderHeap, held),
+	return roleUsage{
+		Role: "decision records", StateBytes: held * size,
+		CorePercent: corePercent(perSecond * m.timeAt(recordByCandidates, 5)), HeapBytes: m.bytesAt(recorderHeap, held),
 	}
 }
 
-func (m model) operators() usage {
-	jobs := float64(m.size.Batch)
-	if m.changes.listPages {
-		jobs = pageSize
+// operatorInterface returns the needs of operators' lists of jobs.
+func (m model) operatorInterface() roleUsage {
+	jobs := float64(m.deployment.Batch)
+	if m.optimizations.listPages {
+		jobs = jobsPerPage
 	}
-	size := m.bytes(listByJobs, jobs)
-	// The asked host collects the lists of all hosts and encodes the whole.
-	return usage{
-		Role: "operator interface", Calls: operatorLists, Bytes: 2 * operatorLists * size,
-		Core: percent(2 * operatorLists * m.time(listByJobs, jobs)), Heap: 2 * size,
+	size := m.bytesAt(listByJobs, jobs)
+	// The host that answers the operator receives the lists of all hosts and encodes them as one.
+	return roleUsage{
+		Role: "operator interface", CallsPerSecond: operatorListsPerSecond, BytesPerSecond: 2 * operatorListsPerSecond * size,
+		CorePercent: corePercent(2 * operatorListsPerSecond * m.timeAt(listByJobs, jobs)), HeapBytes: 2 * size,
 	}
 }
 
-func (m model) requests() usage {
-	domain := float64(m.size.Instances) / float64(m.size.Domains)
-	service := domain / float64(m.size.Services)
-	// A second's requests wait at the most.
-	heap := m.bytes(routerHeapByInstance, domain) + m.bytes(limiterHeap, m.size.RequestsPerHost)
-	return usage{
-		Role: "receiving and routing requests", State: heap, Calls: 2 * m.size.RequestsPerHost,
-		Core: percent(m.size.RequestsPerHost * (m.time(pickByInstances, service) + m.time(offerByInstances, service))), Heap: heap,
+// requestRouting returns the needs of callers' requests.
+func (m model) requestRouting() roleUsage {
+	domain := float64(m.deployment.Instances) / float64(m.deployment.Domains)
+	service := domain / float64(m.deployment.Services)
+	// At most the requests of one second wait.
+	heap := m.bytesAt(routerHeapByInstance, domain) + m.bytesAt(limiterHeap, m.deployment.RequestsPerHost)
+	return roleUsage{
+		Role: "receiving and routing requests", StateBytes: heap, CallsPerSecond: 2 * m.deployment.RequestsPerHost,
+		CorePercent: corePercent(m.deployment.RequestsPerHost * (m.timeAt(pickByInstances, service) + m.timeAt(offerByInstances, service))), HeapBytes: heap,
 	}
 }
 
-func (m model) store(l layout, journal float64, t journalTraffic, text float64) storeDemand {
-	const writesOfChange = 2 // current and history; a deletion keeps the history bounded
-	changes := m.size.ConfigurationsPerDay / perDay
-	records := m.count(callsByStarts+": records of ended jobs", l.starts) / 2 // as many reads as writes
-	s := storeDemand{
-		Writes: l.shards*(t.writes+records) + (writesOfChange+1)*changes,
-		Reads: l.hosts*(m.watches(l)+predecessorLists+configPerSecond+configWatches+hostListsPerSecond) +
+// storeUsage returns the load on the store, without OutBytesPerSecond.
+func (m model) storeUsage(l layout, journal float64, t journalTraffic, text float64) storeUsage {
+	const writesPerChange = 2 // current record and history; one deletion keeps the history bounded
+	changes := m.deployment.ConfigurationsPerDay / secondsPerDay
+	records := m.countAt(callsByStarts+": records of ended jobs", l.startsPerSecond) / 2 // half of the calls are reads
+	s := storeUsage{
+		WritesPerSecond: l.shards*(t.writes+records) + (writesPerChange+1)*changes,
+		ReadsPerSecond: l.hosts*(m.journalReadCalls(l)+predecessorListsPerSecond+configReadsPerSecond+configWatchesPerSecond+hostListReadsPerSecond) +
 			l.shards*records,
-		Largest: max(journal, text),
+		MaxValueBytes: max(journal, text),
 	}
-	// Records hold 500 ended jobs of each shard, each as large as in the journal.
+	// The job history of a shard holds 500 ended jobs, each as large as in the journal.
 	const kept = 500
-	recordsSize := kept * m.get(journalByJobs).Fit(bytesOf).Slope
-	s.State = l.shards*(journal+recordsSize) + (1+publisher.HistoryLimit)*text
-	s.BytesIn = l.shards*(t.written+records*recordsSize) + writesOfChange*changes*text
+	recordsSize := kept * m.lookup(journalEncodeByJobs).Fit(bytesOf).Slope
+	s.StateBytes = l.shards*(journal+recordsSize) + (1+publisher.HistoryLimit)*text
+	s.InBytesPerSecond = l.shards*(t.bytesWritten+records*recordsSize) + writesPerChange*changes*text
 	return s
 }
 
-// figure is a figure that has a limit.
-type figure struct {
-	What         string
+// limitCheck is an estimated quantity with its limit.
+type limitCheck struct {
+	Name         string
 	Value, Limit float64
 	Unit         string
 }
 
-// largestMultiple bounds the search for the size at which a limit breaks.
-const largestMultiple = 100
+// maxSizeMultiple bounds the search for the size at which a limit is exceeded.
+const maxSizeMultiple = 100
 
-// breaksAt returns the multiple of the size at which the figure at an index of limits
-// reaches its limit with the same entry hosts: 0 if it is over at any size.
-func (m model) breaksAt(hosts, index int) float64 {
+// breakingMultiple returns the multiple of the deployment size at which the quantity at an
+// index of limitChecks reaches its limit with the same entry hosts. It is 0 if the limit is
+// exceeded at any size, and maxSizeMultiple if it is not reached up to that multiple.
+func (m model) breakingMultiple(hosts, index int) float64 {
 	over := func(by float64) bool {
-		f := m.scaled(by).limits(hosts)[index]
+		f := m.scaled(by).limitChecks(hosts)[index]
 		return f.Value > f.Limit
 	}
-	low, high := 1.0/float64(m.size.Workers), float64(largestMultiple)
+	low, high := 1.0/float64(m.deployment.Workers), float64(maxSizeMultiple)
 	switch {
 	case over(low):
 		return 0
 	case !over(high):
-		return largestMultiple
+		return maxSizeMultiple
 	}
 	for range 30 {
 		if middle := (low + high) / 2; over(middle) {
@@ -473,29 +492,29 @@
 	return low
 }
 
-// limits returns the figures that have a limit, with a number of entry hosts.
-func (m model) limits(count int) []figure {
+// limitChecks returns the quantities that have a limit, with a number of entry hosts.
+func (m model) limitChecks(count int) []limitCheck {
 	average, peak := m.estimate(count, false), m.estimate(count, true)
 	a, p := average.total(), peak.total()
 	hosts := float64(count)
-	share := hosts / (hosts + float64(m.size.Workers)) // spreads the entry hosts' needs over all hosts
-	perShard := m.journalSize(m.layout(count, false))
-	return []figure{
-		{"bytes of control on an entry host, average", a.Bytes, limitBytes, "bytes/s"},
-		{"bytes of control on an entry host, peak", p.Bytes, limitBytes, "bytes/s"},
-		{"processor time of control on an entry host, average", a.Core, limitCore, "% of a core"},
-		{"processor time of control on an entry host, peak", p.Core, limitCore, "% of a core"},
-		{"heap of control on an entry host", p.Heap, limitHeap, "bytes"},
-		{"bytes of control, mean over all entry hosts and workers, average", a.Bytes * share, limitBytes, "bytes/s"},
-		{"bytes of control, mean over all entry hosts and workers, peak", p.Bytes * share, limitBytes, "bytes/s"},
-		{"processor time of control, mean over all entry hosts and workers, average", a.Core * share, limitCore, "% of a core"},
-		{"processor time of control, mean over all entry hosts and workers, peak", p.Core * share, limitCore, "% of a core"},
-		{"bytes of control on a worker, peak", peak.Worker.Bytes, limitBytes, "bytes/s"},
-		{"store writes, average", average.Store.Writes, storeWrites, "per second"},
-		{"store writes, peak", peak.Store.Writes, storeWrites, "per second"},
-		{"store reads", peak.Store.Reads, storeReads, "per second"},
-		{"largest value in the store", peak.Store.Largest, storeValue, "bytes"},
+	share := hosts / (hosts + float64(m.deployment.Workers)) // of the entry hosts among all hosts
+	perShard := m.journalBytes(m.layout(count, false))
+	return []limitCheck{
+		{"bytes of control on an entry host, average", a.BytesPerSecond, maxBytesPerSecond, "bytes/s"},
+		{"bytes of control on an entry host, peak", p.BytesPerSecond, maxBytesPerSecond, "bytes/s"},
+		{"processor time of control on an entry host, average", a.CorePercent, maxCorePercent, "% of a core"},
+		{"processor time of control on an entry host, peak", p.CorePercent, maxCorePercent, "% of a core"},
+		{"heap of control on an entry host", p.HeapBytes, maxHeapBytes, "bytes"},
+		{"bytes of control, mean over all entry hosts and workers, average", a.BytesPerSecond * share, maxBytesPerSecond, "bytes/s"},
+		{"bytes of control, mean over all entry hosts and workers, peak", p.BytesPerSecond * share, maxBytesPerSecond, "bytes/s"},
+		{"processor time of control, mean over all entry hosts and workers, average", a.CorePercent * share, maxCorePercent, "% of a core"},
+		{"processor time of control, mean over all entry hosts and workers, peak", p.CorePercent * share, maxCorePercent, "% of a core"},
+		{"bytes of control on a worker, peak", peak.Worker.BytesPerSecond, maxBytesPerSecond, "bytes/s"},
+		{"store writes, average", average.Store.WritesPerSecond, maxStoreWritesPerSecond, "per second"},
+		{"store writes, peak", peak.Store.WritesPerSecond, maxStoreWritesPerSecond, "per second"},
+		{"store reads", peak.Store.ReadsPerSecond, maxStoreReadsPerSecond, "per second"},
+		{"largest value in the store", peak.Store.MaxValueBytes, maxStoreValueBytes, "bytes"},
 		{"a shard's journal", perShard, scheduler.MaxJournalSize, "bytes"},
-		{"text of the configuration", average.ConfigSize, configurator.MaxTextSize, "bytes"},
+		{"text of the configuration", average.ConfigBytes, configurator.MaxTextSize, "bytes"},
 	}
 }
--- a/internal/surveyor/inputs.go
+++ b/internal/surveyor/inputs.go
@@ -13,27 +13,27 @@
 	"peridotpitch/internal/scheduler"
 )
 
-// Size is the size of a deployment.
-type Size struct {
+// Deployment is the size and load of a deployment.
+type Deployment struct {
 	Workers, Accelerators   int
 	Batch, Instances        int     // running tasks
-	Teams, Services         int     // the design states no number of services
+	Teams, Services         int     // Services: an assumption, see DeploymentInTwoYears
 	Domains                 int     // failure domains
 	JobsPerDay, StartsPeak  float64 // StartsPeak per second
 	ConfigurationsPerDay    float64
-	RestartedHosts          int // since the entry hosts started, without repetition
-	ShardWorkers            int // workers per shard
-	RequestsPerHost         float64
-	RoutingDecisionsPerHost float64 // recorded per second: refusals, retries, forwards
+	RestartedHosts          int     // distinct hosts restarted since the entry hosts started
+	ShardWorkers            int     // largest number of workers in a shard
+	RequestsPerHost         float64 // requests per second at each entry host
+	RoutingDecisionsPerHost float64 // decision records per second of refusals, retries and forwards
 }
 
-// TwoYears is the size of section 1.6 of the design page. It states no number of
-// services, requests and operators' calls: 20 services, 1,000 requests a second at each
-// entry host of which 1% are refused or retried, and one list of all jobs a minute at
-// each host are assumptions. At 380 restarts a day nearly all 990 workers have restarted
-// once after a week.
-func TwoYears() Size {
-	return Size{
+// DeploymentInTwoYears is the deployment of section 1.6 of the design page. The section states
+// no numbers of services, requests and operators' calls. The assumptions are 20 services,
+// 1,000 requests per second at each entry host, of which 1% are refused or retried, and one
+// list of all jobs per minute at each host. With 380 restarts per day, nearly all 990 workers
+// have restarted after a week.
+func DeploymentInTwoYears() Deployment {
+	return Deployment{
 		Workers: 990, Accelerators: 1100, Batch: 16000, Instances: 3100, Teams: 200, Services: 20, Domains: 6,
 		JobsPerDay: 19000, StartsPeak: 500, ConfigurationsPerDay: 410, RestartedHosts: 990, ShardWorkers: 50,
 		RequestsPerHost: 1000, RoutingDecisionsPerHost: 10,
@@ -41,16 +41,16 @@
 }
 
 const (
-	domain     = "Plovdiv-1"
-	gigabyte   = 1_000_000_000
-	jobClasses = 12
-	rackSize   = 8
-	hostPort   = 7100
-	workerPort = 7200
+	firstDomain    = "Plovdiv-1"
+	gigabyte       = 1_000_000_000
+	jobClassCount  = 12
+	workersPerRack = 8
+	hostPort       = 7100
+	workerPort     = 7200
 )
 
-// epoch is when all measurements begin.
-var epoch = time.Date(2026, time.December, 3, 12, 0, 0, 0, time.UTC)
+// startTime is the time at which all measurements begin.
+var startTime = time.Date(2026, time.December, 3, 12, 0, 0, 0, time.UTC)
 
 func workerName(i int) string { return fmt.Sprintf("plovdiv-worker-%03d", i) }
 
@@ -59,10 +59,10 @@
 func serviceName(i int) string { return fmt.Sprintf("quotes-%02d", i) }
 
 func instanceName(i, services int) string {
-	return fmt.Sprintf("%s/%s/%d", serviceName(i%services), domain, i/services)
+	return fmt.Sprintf("%s/%s/%d", serviceName(i%services), firstDomain, i/services)
 }
 
-func className(i int) string { return fmt.Sprintf("drawing-%02d", i%jobClasses) }
+func className(i int) string { return fmt.Sprintf("drawing-%02d", i%jobClassCount) }
 
 func teamName(i int) string { return fmt.Sprintf("mill-team-%03d", i) }
 
@@ -72,15 +72,15 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, network, byte(i / 250), byte(i%250 + 1)}), port)
 }
 
-// shape is what a generated configuration holds.
-type shape struct {
+// configurationSize holds the numbers of objects in a generated configuration.
+type configurationSize struct {
 	domains, hosts, workers, shards    int // hosts, workers, shards of each failure domain
 	services, instances, teams         int // instances of each failure domain, over all services
 	batchPerWorker, instancesPerWorker int
 }
 
-// configuration returns a valid configuration. Its first failure domain is domain.
-func configuration(s shape) *configurator.Configuration {
+// configuration returns a valid configuration whose first failure domain is firstDomain.
+func configuration(s configurationSize) *configurator.Configuration {
 	c := &configurator.Configuration{
 		Generation: 1, Firm: "Vitosha Telsoft OOD", Measures: configurator.Measures{Latency: 10, Throughput: 3, Evictions: 1},
 		Policy: configurator.Policy{
@@ -102,8 +102,8 @@
 		for i := range s.workers {
 			n := d*s.workers + i
 			c.Workers = append(c.Workers, configurator.Worker{
-				Name: workerName(n), FailureDomain: name, Rack: fmt.Sprintf("rack-%03d", n/rackSize),
-				Shard: strconv.Itoa(i % max(1, s.shards)), Address: address(1, n, workerPort), Capacity: capacity(n),
+				Name: workerName(n), FailureDomain: name, Rack: fmt.Sprintf("rack-%03d", n/workersPerRack),
+				Shard: strconv.Itoa(i % max(1, s.shards)), Address: address(1, n, workerPort), Capacity: workerCapacity(n),
 			})
 		}
 	}
@@ -120,7 +120,7 @@
 		}
 		c.Services = append(c.Services, v)
 	}
-	for i := range jobClasses {
+	for i := range jobClassCount {
 		c.JobClasses = append(c.JobClasses, configurator.JobClass{Name: className(i), Urgent: i == 0, Size: jobSize, MaxAttempts: 3})
 	}
 	for i := range s.teams {
@@ -129,13 +129,13 @@
 	return c
 }
 
-// jobSize is the declared size of the measured jobs. 16 of them and 3 instances leave a
-// worker room for starts.
+// jobSize is the declared size of the measured jobs. With 16 of them and 3 instances a worker
+// has free capacity for starts.
 var jobSize = configurator.Resources{Cores: 0.5, Memory: gigabyte}
 
-// capacity gives one accelerator to each worker and a second one to every ninth, which
-// is 1,100 on 990 workers.
-func capacity(i int) configurator.Resources {
+// workerCapacity returns the capacity of a worker. Every ninth worker has two accelerators, the
+// others one: 1,100 on 990 workers.
+func workerCapacity(i int) configurator.Resources {
 	r := configurator.Resources{Cores: 32, Memory: 125 * gigabyte, Accelerators: 1}
 	if i%9 == 0 {
 		r.Accelerators++
@@ -145,7 +145,7 @@
 
 func domainName(d int) string {
 	if d == 0 {
-		return domain
+		return firstDomain
 	}
 	return fmt.Sprintf("Domain-%d", d)
 }
@@ -153,7 +153,7 @@
 // journal returns the journal of a shard with running jobs and instances.
 func journal(jobs, instances, workers int) scheduler.Journal {
 	j := scheduler.Journal{
-		Version: scheduler.JournalVersion, Shard: domain + "/0", Owner: hostName(0), Epoch: 2, Renewal: 86400, Writer: hostName(0) + "-5f3759df", Sequence: 172800,
+		Version: scheduler.JournalVersion, Shard: firstDomain + "/0", Owner: hostName(0), Epoch: 2, Renewal: 86400, Writer: hostName(0) + "-5f3759df", Sequence: 172800,
 		Successors: []string{hostName(1), hostName(2), hostName(3)}, RunningSuccessors: []string{hostName(4), hostName(5)},
 	}
 	for i := range jobs {
@@ -161,7 +161,7 @@
 		j.Jobs = append(j.Jobs, scheduler.JobEntry{
 			Spec:  scheduler.JobSpec{Name: jobName(i), Class: className(i), Team: teamName(i % 20), Declared: jobSize, Duration: time.Hour},
 			State: scheduler.JobRunning, Worker: w, Attempt: 1, Checkpoint: fmt.Sprintf("checkpoint-%d", i),
-			Submitted: epoch, Started: epoch.Add(123456789), Decision: "placed on " + w + " by rule LeastInterference",
+			Submitted: startTime, Started: startTime.Add(123456789), Decision: "placed on " + w + " by rule LeastInterference",
 		})
 	}
 	for i := range instances {
@@ -185,9 +185,9 @@
 	return t
 }
 
-// report returns the report of a worker with running batch tasks.
+// report returns a worker's report with running batch tasks.
 func report(tasks int, random *rand.Rand) commander.Report {
-	r := commander.Report{Worker: workerName(1), Incarnation: "1-5f3759df", Clock: 123456789012, MeasuredAt: 122956789012, Epoch: 2, Capacity: capacity(1)}
+	r := commander.Report{Worker: workerName(1), Incarnation: "1-5f3759df", Clock: 123456789012, MeasuredAt: 122956789012, Epoch: 2, Capacity: workerCapacity(1)}
 	for i := range tasks {
 		r.Tasks = append(r.Tasks, taskReport(jobName(i), className(i), commander.KindBatch, random))
 	}
@@ -195,19 +195,19 @@
 }
 
 func identity(notices int) messenger.Identity {
-	id := messenger.Identity{Host: hostName(1), FailureDomain: domain, Incarnation: hostName(1) + "-5f3759df", Generation: 299300, InEffectFor: time.Hour}
+	id := messenger.Identity{Host: hostName(1), FailureDomain: firstDomain, Incarnation: hostName(1) + "-5f3759df", Generation: 299300, InEffectFor: time.Hour}
 	for i := range notices {
 		id.Notices = append(id.Notices, messenger.HostNotice{Host: workerName(i), Source: messenger.SourcePlatform, Leaving: true, Version: 1765})
 	}
 	return id
 }
 
-// heartbeat returns a heartbeat within a failure domain: claims of the sender's shards
-// and its demand for the receiver's instances.
+// heartbeat returns a heartbeat within a failure domain, with claims of the sender's shards
+// and its slot demand for the receiver's instances.
 func heartbeat(shards, instances, notices int) messenger.Heartbeat {
 	m := messenger.Heartbeat{Identity: identity(notices)}
 	for i := range shards {
-		m.Claims = append(m.Claims, messenger.ShardClaim{Shard: fmt.Sprintf("%s/%d", domain, i), Epoch: 12, Kinds: []messenger.TenureKind{messenger.TenurePlacing, messenger.TenureRunning}})
+		m.Claims = append(m.Claims, messenger.ShardClaim{Shard: fmt.Sprintf("%s/%d", firstDomain, i), Epoch: 12, Kinds: []messenger.TenureKind{messenger.TenurePlacing, messenger.TenureRunning}})
 	}
 	for i := range instances {
 		m.Demand = append(m.Demand, messenger.SlotDemand{Instance: instanceName(i, 20), InUse: 2, Wanted: 3})
@@ -219,7 +219,7 @@
 	var es []messenger.Endpoint
 	for i := range instances {
 		es = append(es, messenger.Endpoint{
-			Instance: instanceName(i, services), Service: serviceName(i % services), FailureDomain: domain, Worker: workerName(i), Shard: domain + "/0",
+			Instance: instanceName(i, services), Service: serviceName(i % services), FailureDomain: firstDomain, Worker: workerName(i), Shard: firstDomain + "/0",
 			Address: address(1, i, workerPort).String(), Slots: 8, Connections: 64, Slowdown: 1.125,
 		})
 	}
--- a/internal/surveyor/measure.go
+++ b/internal/surveyor/measure.go
@@ -30,60 +30,61 @@
 	"peridotpitch/internal/storer"
 )
 
-// Names of the series that the estimate uses.
+// Names of the series, most of which the estimate uses.
 const (
-	journalByJobs        = "Journal encode"
-	journalByInstances   = "Journal encode, instances"
-	journalDecode        = "Journal decode"
-	envelopeEncode       = "Store call, JSON and base64: encode"
-	envelopeDecode       = "Store call, JSON and base64: decode"
-	shardByWorkers       = "Shard, one second without starts"
-	shardByStarts        = "Shard of 50 workers, one second with starts"
-	placeByWorkers       = "placer.Place"
-	placeByTasks         = "placer.Place on 50 workers"
-	reportByTasks        = "Worker report, JSON decode"
-	reportStepByTasks    = "Worker report, scheduler.Step"
-	reportCallByTasks    = "Worker report over HTTP, both ends"
-	commandsByCount      = "Message with renewals, JSON encode, bytes with the answer"
-	heartbeatByShards    = "Heartbeat"
-	heartbeatByNotices   = "Heartbeat, notices"
-	demandByInstances    = "Slot demand in a heartbeat"
-	grantsByInstances    = "Endpoints and grants in a heartbeat's answer"
-	grantsOnly           = "Grants in a heartbeat's answer, without endpoints"
-	noticesHeld          = "Notices of hosts that have restarted and are live"
-	configByWorkers      = "Configuration: parse, verify and adopt"
-	configByTeams        = "Configuration: parse, verify and adopt, 990 workers"
-	configPrint          = "Configuration: print"
-	pickByInstances      = "router.Pick and Done"
-	offerByInstances     = "limiter.Offer, Next and Release"
-	offerByTeams         = "limiter.Offer, Next and Release, queue of all teams"
-	recordByCandidates   = "recorder.Add with its log line"
-	listByJobs           = "Operators' list of jobs, JSON encode"
-	shardHeapByWorkers   = "Heap of a shard"
-	journalHeapByJobs    = "Heap of a decoded journal"
-	configHeapByWorkers  = "Heap of a parsed configuration"
-	routerHeapByInstance = "Heap of the router"
-	registrarHeap        = "Heap of the registrar"
-	allocatorHeap        = "Heap of the allocator, with the heartbeats of 4 entry hosts"
-	limiterHeap          = "Heap of the limiter"
-	recorderHeap         = "Heap of the recorder"
+	journalEncodeByJobs      = "Journal encode"
+	journalEncodeByInstances = "Journal encode, instances"
+	journalDecodeByJobs      = "Journal decode"
+	storeCallEncode          = "Store call, JSON and base64: encode"
+	storeCallDecode          = "Store call, JSON and base64: decode"
+	shardSecondByWorkers     = "Shard, one second without starts"
+	shardSecondByStarts      = "Shard of 50 workers, one second with starts"
+	placeByWorkers           = "placer.Place"
+	placeByTasks             = "placer.Place on 50 workers"
+	reportDecodeByTasks      = "Worker report, JSON decode"
+	reportStepByTasks        = "Worker report, scheduler.Step"
+	reportCallByTasks        = "Worker report over HTTP, both ends"
+	renewalMessageByCount    = "Message with renewals, JSON encode, bytes with the answer"
+	heartbeatByShards        = "Heartbeat"
+	heartbeatByNotices       = "Heartbeat, notices"
+	demandByInstances        = "Slot demand in a heartbeat"
+	grantsByInstances        = "Endpoints and grants in a heartbeat's answer"
+	grantsWithoutEndpoints   = "Grants in a heartbeat's answer, without endpoints"
+	noticesByRestartedHosts  = "Notices of hosts that have restarted and are live"
+	configByWorkers          = "Configuration: parse, verify and adopt"
+	configByTeams            = "Configuration: parse, verify and adopt, 990 workers"
+	configPrint              = "Configuration: print"
+	pickByInstances          = "router.Pick and Done"
+	offerByInstances         = "limiter.Offer, Next and Release"
+	offerByTeams             = "limiter.Offer, Next and Release, queue of all teams"
+	recordByCandidates       = "recorder.Add with its log line"
+	listByJobs               = "Operators' list of jobs, JSON encode"
+	shardHeapByWorkers       = "Heap of a shard"
+	journalHeapByJobs        = "Heap of a decoded journal"
+	configHeapByWorkers      = "Heap of a parsed configuration"
+	routerHeapByInstance     = "Heap of the router"
+	registrarHeap            = "Heap of the registrar"
+	allocatorHeap            = "Heap of the allocator, with the heartbeats of 4 entry hosts"
+	limiterHeap              = "Heap of the limiter"
+	recorderHeap             = "Heap of the recorder"
 )
 
-// Tasks of one worker at the size of section 1.6, rounded.
+// Tasks of one worker in the deployment of section 1.6 of the design page, rounded.
 const (
 	batchPerWorker     = 16
 	instancesPerWorker = 3
 )
 
-// survey holds what the measurements share.
-type survey struct {
-	meter
+// measurer runs the measurements. Their inputs depend only on the seed.
+type measurer struct {
+	costMeter
 	seed uint64
 }
 
-func (s survey) random() *rand.Rand { return rand.New(rand.NewPCG(s.seed, 0)) }
+// random returns a random number source in its initial state.
+func (s measurer) random() *rand.Rand { return rand.New(rand.NewPCG(s.seed, 0)) }
 
-// series measures f at each size.
+// series returns a series with the measurements of f at each size.
 func series(name, per, bytes string, sizes []int, f func(size int) Sample) Series {
 	out := Series{Name: name, Per: per, Bytes: bytes}
 	for _, n := range sizes {
@@ -94,7 +95,7 @@
 	return out
 }
 
-func (s survey) journals() []Series {
+func (s measurer) measureJournals() []Series {
 	const workers = 50
 	encode := func(jobs, instances int) Sample {
 		j := journal(jobs, instances, workers)
@@ -126,36 +127,36 @@
 	}
 	sizes := []int{64 << 10, 256 << 10, 900 << 10}
 	return []Series{
-		series(journalByJobs, "jobs", "bytes", []int{250, 800, 1600}, func(n int) Sample { return encode(n, 0) }),
-		series(journalByInstances, "instances", "bytes", []int{50, 155, 500}, func(n int) Sample { return encode(0, n) }),
-		series(journalDecode, "jobs", "", []int{250, 800, 1600}, decode),
-		series(envelopeEncode, "bytes of the value", "bytes sent", sizes, encodeCall),
-		series(envelopeDecode, "bytes of the value", "", sizes, decodeCall),
+		series(journalEncodeByJobs, "jobs", "bytes", []int{250, 800, 1600}, func(n int) Sample { return encode(n, 0) }),
+		series(journalEncodeByInstances, "instances", "bytes", []int{50, 155, 500}, func(n int) Sample { return encode(0, n) }),
+		series(journalDecodeByJobs, "jobs", "", []int{250, 800, 1600}, decode),
+		series(storeCallEncode, "bytes of the value", "bytes sent", sizes, encodeCall),
+		series(storeCallDecode, "bytes of the value", "", sizes, decodeCall),
 	}
 }
 
-func (s survey) shards() []Series {
-	byWorkers := secondsOf(shardByWorkers, "workers, 16 batch tasks and 3 instances each")
+func (s measurer) measureShards() []Series {
+	byWorkers := newShardSeries(shardSecondByWorkers, "workers, 16 batch tasks and 3 instances each")
 	for _, n := range []int{20, 50, 165} {
-		byWorkers.add(n, s.second(n, 0))
+		byWorkers.add(n, s.measureShardSecond(n, 0))
 	}
-	byStarts := secondsOf(shardByStarts, "starts per second")
+	byStarts := newShardSeries(shardSecondByStarts, "starts per second")
 	for _, n := range []int{0, 5, 10, 25} {
-		byStarts.add(n, s.second(50, n))
+		byStarts.add(n, s.measureShardSecond(50, n))
 	}
 	return slices.Concat(byWorkers.series(), byStarts.series())
 }
 
-func (s survey) placing() []Series {
+func (s measurer) measurePlacing() []Series {
 	place := func(workers, batch int) Sample {
-		p := placer.New(placer.Policy{Placement: configurator.PlacementInterference, Quotas: quotas(200)}, configurator.Measures{Latency: 10, Throughput: 3, Evictions: 1}, s.random())
-		ws := fleet(workers, batch, s.seed)
+		p := placer.New(placer.Policy{Placement: configurator.PlacementInterference, Quotas: teamQuotas(200)}, configurator.Measures{Latency: 10, Throughput: 3, Evictions: 1}, s.random())
+		ws := placerWorkers(workers, batch, s.seed)
 		t := placer.Task{Name: "new", Class: className(3), Team: teamName(3), Kind: placer.KindBatch, Declared: jobSize, Attempt: 1}
 		i := 0
-		return s.cost(func() { // one worker has changed since the last call, as in a shard
+		return s.cost(func() { // one worker changes between two calls, as in a shard
 			ws[i%workers].Version += uint64(workers)
 			i++
-			p.Place(t, ws, epoch)
+			p.Place(t, ws, startTime)
 		})
 	}
 	return []Series{
@@ -164,26 +165,26 @@
 	}
 }
 
-// seconds are the series of one drive.
-type seconds struct{ time, messages, commands, records Series }
+// shardSeries holds the series that are measured with one shardDriver.
+type shardSeries struct{ time, messages, commands, records Series }
 
-// Endings of the names of the series of a drive.
+// Suffixes of the names of shardSeries.
 const (
-	messagesOf = ": messages with commands"
-	commandsOf = ": commands"
-	recordsOf  = ": decision records"
+	messagesSuffix = ": messages with commands"
+	commandsSuffix = ": commands"
+	recordsSuffix  = ": decision records"
 )
 
-func secondsOf(name, per string) *seconds {
-	return &seconds{
+func newShardSeries(name, per string) *shardSeries {
+	return &shardSeries{
 		time:     Series{Name: name, Per: per, Bytes: "bytes of a journal write", Counted: "journal writes per second"},
-		messages: Series{Name: name + messagesOf, Per: per, Counted: "messages per second"},
-		commands: Series{Name: name + commandsOf, Per: per, Counted: "commands per second"},
-		records:  Series{Name: name + recordsOf, Per: per, Counted: "records per second"},
+		messages: Series{Name: name + messagesSuffix, Per: per, Counted: "messages per second"},
+		commands: Series{Name: name + commandsSuffix, Per: per, Counted: "commands per second"},
+		records:  Series{Name: name + recordsSuffix, Per: per, Counted: "records per second"},
 	}
 }
 
-func (s *seconds) add(size int, m drivenSecond) {
+func (s *shardSeries) add(size int, m shardSecond) {
 	add := func(to *Series, m Sample) {
 		m.Size = float64(size)
 		to.Samples = append(to.Samples, m)
@@ -194,32 +195,33 @@
 	add(&s.records, Sample{Count: m.records})
 }
 
-func (s *seconds) series() []Series { return []Series{s.time, s.messages, s.commands, s.records} }
+func (s *shardSeries) series() []Series { return []Series{s.time, s.messages, s.commands, s.records} }
 
-// drivenSecond is one second of a shard.
-type drivenSecond struct{ time, writes, writeBytes, messages, commands, records float64 }
+// shardSecond holds processor time in microseconds and counts of one second of a shard.
+type shardSecond struct{ time, writes, writeBytes, messages, commands, records float64 }
 
-// second measures a shard's processor time and actions in a second of virtual time, with
-// a number of starts. The time includes the stand-in workers' copying of their reports.
-func (s survey) second(workers, rate int) drivenSecond {
-	d := newDrive(workers, batchPerWorker, instancesPerWorker, s.seed)
-	d.run(2*time.Second, rate)
-	before := d.tally
-	const span = 5 // renewals of leases recur every 5 s
+// measureShardSecond measures a shard's processor time and actions per second of virtual time,
+// at a number of job starts per second. The time includes copying the emulated workers'
+// reports.
+func (s measurer) measureShardSecond(workers, rate int) shardSecond {
+	d := newShardDriver(workers, batchPerWorker, instancesPerWorker, s.seed)
+	d.advance(2*time.Second, rate)
+	before := d.actionCounts
+	const seconds = 5 // the interval of lease renewals
 	var times []float64
 	for range s.repetitions {
 		began := processorTime()
-		d.run(span*time.Second, rate)
-		times = append(times, float64(processorTime()-began)/float64(time.Microsecond)/span)
+		d.advance(seconds*time.Second, rate)
+		times = append(times, float64(processorTime()-began)/float64(time.Microsecond)/seconds)
 	}
-	per := func(a, b int) float64 { return float64(a-b) / float64(span*s.repetitions) }
-	return drivenSecond{
+	per := func(a, b int) float64 { return float64(a-b) / float64(seconds*s.repetitions) }
+	return shardSecond{
 		time: median(times), writes: per(d.writes, before.writes), writeBytes: float64(d.bytes-before.bytes) / float64(d.writes-before.writes),
-		messages: per(d.messages, before.messages), commands: per(d.commands, before.commands), records: per(d.notes, before.notes),
+		messages: per(d.messages, before.messages), commands: per(d.commands, before.commands), records: per(d.records, before.records),
 	}
 }
 
-func (s survey) reports() []Series {
+func (s measurer) measureReports() []Series {
 	sizes := []int{5, 19, 40}
 	decode := func(tasks int) Sample {
 		text, _ := json.Marshal(report(tasks, s.random()))
@@ -231,7 +233,7 @@
 		return m
 	}
 	step := func(tasks int) Sample {
-		d := newDrive(4, tasks, 0, s.seed)
+		d := newShardDriver(4, tasks, 0, s.seed)
 		return s.cost(func() {
 			e := scheduler.ReportArrived{Worker: workerName(0), Report: d.report(workerName(0)), SentAt: d.now, ReceivedAt: d.now}
 			d.shard.Step(e, d.now)
@@ -249,20 +251,20 @@
 		return m
 	}
 	return []Series{
-		series(reportByTasks, "tasks of the worker", "bytes of JSON", sizes, decode),
+		series(reportDecodeByTasks, "tasks of the worker", "bytes of JSON", sizes, decode),
 		series(reportStepByTasks, "tasks of the worker", "", sizes, step),
-		series(reportCallByTasks, "tasks of the worker", "", sizes, s.reportCall),
-		series(commandsByCount, "renewals", "bytes of JSON", []int{1, 16, 64}, commands),
+		series(reportCallByTasks, "tasks of the worker", "", sizes, s.measureReportCall),
+		series(renewalMessageByCount, "renewals", "bytes of JSON", []int{1, 16, 64}, commands),
 	}
 }
 
-// reportCall measures whole calls over the loopback interface to a server that sends a
-// fixed report. The processor time of both ends counts.
-func (s survey) reportCall(tasks int) Sample {
+// measureReportCall measures report calls over the loopback interface to a server that sends
+// a fixed report. The processor time includes client and server.
+func (s measurer) measureReportCall(tasks int) Sample {
 	text, _ := json.Marshal(report(tasks, s.random()))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return Sample{} // printed as not measured
+		return Sample{} // the printed table then has no row for the time
 	}
 	server := &fasthttp.Server{Handler: func(c *fasthttp.RequestCtx) {
 		c.SetContentType("application/json")
@@ -279,9 +281,9 @@
 	return m
 }
 
-func (s survey) heartbeats() []Series {
-	now := epoch
-	// handle measures encoding, decoding and handling of m.
+func (s measurer) measureHeartbeats() []Series {
+	now := startTime
+	// handle measures the encoding, decoding and handling of a heartbeat.
 	handle := func(m messenger.Heartbeat) Sample {
 		r := registrar.New()
 		var text []byte
@@ -297,43 +299,44 @@
 	return []Series{
 		series(heartbeatByShards, "shards of the sender", "bytes of msgpack", []int{0, 1, 4, 8}, func(n int) Sample { return handle(heartbeat(n, 0, 0)) }),
 		series(heartbeatByNotices, "notices of leaving hosts", "bytes of msgpack", []int{0, 10, 200, 990}, func(n int) Sample { return handle(heartbeat(0, 0, n)) }),
-		heldNotices(),
+		countNotices(),
 		series(demandByInstances, "instances of the receiver", "bytes of msgpack", []int{20, 130, 500}, func(n int) Sample { return handle(heartbeat(0, n, 0)) }),
-		series(grantsByInstances, "instances of the answering host", "bytes of msgpack", []int{20, 130, 500}, func(n int) Sample { return s.grants(n, true) }),
-		series(grantsOnly, "instances of the answering host", "bytes of msgpack", []int{20, 130, 500}, func(n int) Sample { return s.grants(n, false) }),
+		series(grantsByInstances, "instances of the answering host", "bytes of msgpack", []int{20, 130, 500}, func(n int) Sample { return s.measureGrants(n, true) }),
+		series(grantsWithoutEndpoints, "instances of the answering host", "bytes of msgpack", []int{20, 130, 500}, func(n int) Sample { return s.measureGrants(n, false) }),
 	}
 }
 
-// heldNotices counts the notices that heartbeats carry after the platform's list has
-// called hosts leaving and then live for longer than the registrar's settling time.
-func heldNotices() Series {
-	out := Series{Name: noticesHeld, Per: "hosts restarted", Counted: "notices in each heartbeat"}
+// countNotices counts the notices in a heartbeat after the platform's host list has reported
+// hosts as leaving and then as live for long enough that the registrar regards them as live.
+func countNotices() Series {
+	out := Series{Name: noticesByRestartedHosts, Per: "hosts restarted", Counted: "notices in each heartbeat"}
 	for _, n := range []int{11, 380, 990} {
-		out.Samples = append(out.Samples, Sample{Size: float64(n), Count: float64(len(restarted(n)))})
+		out.Samples = append(out.Samples, Sample{Size: float64(n), Count: float64(len(noticesAfterRestarts(n)))})
 	}
 	return out
 }
 
-// restarted returns the notices of a heartbeat after a number of hosts have restarted,
-// between two entry hosts that have both followed the platform's list.
-func restarted(hosts int) []messenger.HostNotice {
-	r, peer := restartedRegistrar(hosts), restartedRegistrar(hosts)
+// noticesAfterRestarts returns the notices in a heartbeat after a number of hosts have
+// restarted. Sender and receiver have both followed the platform's host list.
+func noticesAfterRestarts(hosts int) []messenger.HostNotice {
+	r, peer := registrarAfterRestarts(hosts), registrarAfterRestarts(hosts)
 	digest, _ := peer.Exchange("self")
-	r.Heard(messenger.Identity{Host: "peer", Incarnation: "a", NoticeDigest: digest}, epoch)
+	r.Heard(messenger.Identity{Host: "peer", Incarnation: "a", NoticeDigest: digest}, startTime)
 	_, notices := r.Exchange("peer")
 	return notices
 }
 
-func restartedRegistrar(hosts int) *registrar.Registrar {
+// registrarAfterRestarts returns a registrar that has seen hosts leaving and live again.
+func registrarAfterRestarts(hosts int) *registrar.Registrar {
 	r := registrar.New()
 	list := func(state storer.HostState) storer.HostList {
 		var l storer.HostList
 		for i := range hosts {
-			l.Hosts = append(l.Hosts, storer.Host{Name: workerName(i), FailureDomain: domain, State: state})
+			l.Hosts = append(l.Hosts, storer.Host{Name: workerName(i), FailureDomain: firstDomain, State: state})
 		}
 		return l
 	}
-	now := epoch
+	now := startTime
 	r.PlatformList(list(storer.HostLeaving), now)
 	for range 2 {
 		now = now.Add(registrar.ListSettleTime)
@@ -342,18 +345,18 @@
 	return r
 }
 
-// grants measures the granter's decision, the answer's encoding and decoding, and the
-// router's taking of the grants.
-func (s survey) grants(instances int, listed bool) Sample {
+// measureGrants measures the allocator's decision, the encoding and decoding of the heartbeat's
+// answer, and the router's handling of the grants, with or without endpoints in the answer.
+func (s measurer) measureGrants(instances int, withEndpoints bool) Sample {
 	es := endpoints(instances, 20)
-	now := epoch
+	now := startTime
 	a := router.NewAllocator(1, configurator.DefaultMaxRequestTimeout, now)
 	a.Update(es, []string{hostName(0), hostName(1)}, true, now)
 	r := router.New(router.Settings{Policy: configurator.RoutingAdaptive, MaxRequestTimeout: configurator.DefaultMaxRequestTimeout}, s.random())
 	r.Update(es, router.Membership{Hosts: 2, Settled: true}, now)
 	sequence := uint64(0)
 	var sent []messenger.Endpoint
-	if listed {
+	if withEndpoints {
 		sent = es
 	}
 	var text []byte
@@ -371,7 +374,7 @@
 		for _, g := range in.Grants {
 			r.Grant(hostName(0), g, now, now)
 		}
-		if listed {
+		if withEndpoints {
 			r.Update(in.Endpoints, router.Membership{Hosts: 2, Settled: true}, now)
 		}
 	})
@@ -379,15 +382,15 @@
 	return m
 }
 
-func (s survey) configurations() ([]Series, error) {
-	public, private, err := ed25519.GenerateKey(seedReader{s.random()})
+func (s measurer) measureConfigurations() ([]Series, error) {
+	public, private, err := ed25519.GenerateKey(randomReader{s.random()})
 	if err != nil {
 		return nil, err
 	}
 	var first error
 	build := func(workers, teams int) (*configurator.Configuration, configurator.Record) {
 		const domains = 6
-		c := configuration(shape{domains: domains, hosts: 4, workers: workers / domains, shards: 4, services: 20, instances: workers * instancesPerWorker / domains, teams: teams})
+		c := configuration(configurationSize{domains: domains, hosts: 4, workers: workers / domains, shards: 4, services: 20, instances: workers * instancesPerWorker / domains, teams: teams})
 		text := configurator.Print(c)
 		if _, err := configurator.Parse(text); err != nil && first == nil {
 			first = fmt.Errorf("generated configuration of %d workers: %w", workers, err)
@@ -410,7 +413,7 @@
 		}),
 		series(configHeapByWorkers, "workers, 200 teams", "bytes of heap", sizes, func(n int) Sample {
 			_, record := build(n, 200)
-			return Sample{Bytes: heap(func() any {
+			return Sample{Bytes: heapInUse(func() any {
 				c, _ := configurator.Parse([]byte(record.Text))
 				return c
 			})}
@@ -419,10 +422,11 @@
 	return out, first
 }
 
-// seedReader makes a key from a seeded source. It signs measured texts only.
-type seedReader struct{ random *rand.Rand }
+// randomReader is an io.Reader of random numbers from a seeded source. It is not secure, and
+// makes only the key that signs generated configurations.
+type randomReader struct{ random *rand.Rand }
 
-func (r seedReader) Read(b []byte) (int, error) {
+func (r randomReader) Read(b []byte) (int, error) {
 	for i := range b {
 		b[i] = byte(r.random.Uint32())
 	}
@@ -431,14 +435,14 @@
 
 func newRouter(instances, services int, random *rand.Rand) *router.Router {
 	r := router.New(router.Settings{Policy: configurator.RoutingAdaptive, MaxRequestTimeout: configurator.DefaultMaxRequestTimeout}, random)
-	r.Update(endpoints(instances, services), router.Membership{Hosts: 2, Settled: true}, epoch)
+	r.Update(endpoints(instances, services), router.Membership{Hosts: 2, Settled: true}, startTime)
 	return r
 }
 
-func (s survey) requests() []Series {
+func (s measurer) measureRequests() []Series {
 	pick := func(instances int) Sample {
 		r := newRouter(instances, 1, s.random())
-		now := epoch
+		now := startTime
 		return s.cost(func() {
 			now = now.Add(time.Millisecond)
 			c, ok := r.Pick(router.Request{ID: "1", Service: serviceName(0), Deadline: now.Add(time.Second)}, now).(router.Instance)
@@ -449,20 +453,20 @@
 	}
 	return []Series{
 		series(pickByInstances, "instances of the service", "", []int{26, 130, 517}, pick),
-		series(offerByInstances, "instances in use", "", []int{26, 130, 517}, func(n int) Sample { return s.offer(n, 10, 0) }),
-		series(offerByTeams, "teams with waiting requests", "", []int{50, 100, 200}, func(n int) Sample { return s.offer(26, n, n) }),
+		series(offerByInstances, "instances in use", "", []int{26, 130, 517}, func(n int) Sample { return s.measureOffer(n, 10, 0) }),
+		series(offerByTeams, "teams with waiting requests", "", []int{50, 100, 200}, func(n int) Sample { return s.measureOffer(26, n, n) }),
 	}
 }
 
-// offer measures one request through the limiter, while running requests hold the slots
-// and one request of each of the first waiting teams is queued.
-func (s survey) offer(running, teams, waiting int) Sample {
+// measureOffer measures the handling of one request by the limiter, while running requests
+// occupy slots and one request of each of the first teams is queued.
+func (s measurer) measureOffer(running, teams, waiting int) Sample {
 	var ts []configurator.Team
 	for i := range teams {
 		ts = append(ts, configurator.Team{Name: teamName(i), Share: 1})
 	}
 	l := limiter.New(limiter.Settings{Limits: configurator.LimitFair, Retries: configurator.RetryBudget, Teams: ts})
-	now, n := epoch, 0
+	now, n := startTime, 0
 	request := func() limiter.Request {
 		n++
 		return limiter.Request{ID: fmt.Sprint(n), Service: serviceName(0), Tenant: teamName(n % teams), Deadline: now.Add(30 * time.Second)}
@@ -485,25 +489,25 @@
 	})
 }
 
-// discard is a log's writer. Unlike io.Discard it makes the handler format the line.
-type discard struct{}
+// discardWriter discards log lines. With io.Discard, slog would skip their formatting.
+type discardWriter struct{}
 
-func (discard) Write(b []byte) (int, error) { return len(b), nil }
+func (discardWriter) Write(b []byte) (int, error) { return len(b), nil }
 
 func newRecorder() (*recorder.Recorder, error) {
-	r, _, err := recorder.New(recorder.Options{}, slog.New(slog.NewTextHandler(discard{}, nil)), prometheus.NewRegistry())
+	r, _, err := recorder.New(recorder.Options{}, slog.New(slog.NewTextHandler(discardWriter{}, nil)), prometheus.NewRegistry())
 	return r, err
 }
 
-func decision(i, candidates int) recorder.Record {
-	d := recorder.Record{Time: epoch, Kind: recorder.KindPlace, Job: jobName(i), Worker: workerName(i % 990), Cause: "pending", Rule: "LeastInterference", Outcome: "placed on " + workerName(i%990), Generation: 299300, SignedBy: "owner"}
+func decisionRecord(i, candidates int) recorder.Record {
+	d := recorder.Record{Time: startTime, Kind: recorder.KindPlace, Job: jobName(i), Worker: workerName(i % 990), Cause: "pending", Rule: "LeastInterference", Outcome: "placed on " + workerName(i%990), Generation: 299300, SignedBy: "owner"}
 	for k := range candidates {
 		d.Candidates = append(d.Candidates, recorder.Candidate{Name: workerName(k), Figures: []recorder.Figure{{Name: "FreeCores", Value: 4.5}, {Name: "Score", Value: 1.25}, {Name: "Interference", Value: 0.5}}, Age: time.Second})
 	}
 	return d
 }
 
-func (s survey) records() ([]Series, error) {
+func (s measurer) measureRecords() ([]Series, error) {
 	var first error
 	add := func(candidates int) Sample {
 		r, err := newRecorder()
@@ -513,7 +517,7 @@
 		}
 		i := 0
 		m := s.cost(func() {
-			r.Add(decision(i, candidates))
+			r.Add(decisionRecord(i, candidates))
 			i++
 		})
 		n, bytes := r.Len()
@@ -523,7 +527,7 @@
 	list := func(jobs int) Sample {
 		js := make([]scheduler.JobStatus, 0, jobs)
 		for _, e := range journal(jobs, 0, 50).Jobs {
-			js = append(js, scheduler.JobStatus{Spec: e.Spec, State: e.State, Shard: domain + "/0", Worker: e.Worker, Attempt: 1, Submitted: e.Submitted, Started: e.Started, Decision: e.Decision})
+			js = append(js, scheduler.JobStatus{Spec: e.Spec, State: e.State, Shard: firstDomain + "/0", Worker: e.Worker, Attempt: 1, Submitted: e.Submitted, Started: e.Started, Decision: e.Decision})
 		}
 		var text []byte
 		m := s.cost(func() { text, _ = json.Marshal(js) })
@@ -537,17 +541,17 @@
 	return out, first
 }
 
-// usedAllocator returns an allocator to which four entry hosts have sent their demand.
-func usedAllocator(instances int) *router.Allocator {
+// allocatorWithDemand returns an allocator that has handled the slot demand of four entry hosts.
+func allocatorWithDemand(instances int) *router.Allocator {
 	const hosts = 4
-	now := epoch
+	now := startTime
 	a := router.NewAllocator(1, configurator.DefaultMaxRequestTimeout, now)
 	var names []string
 	for i := range hosts {
 		names = append(names, hostName(i))
 	}
 	a.Update(endpoints(instances, 20), names, true, now)
-	for sequence := range uint64(200) { // longer than what an earlier owner lent
+	for sequence := range uint64(200) { // for longer than grants of an earlier owner can last
 		now = now.Add(500 * time.Millisecond)
 		for _, h := range names {
 			a.Step(router.Report{Host: h, Incarnation: "1", Sequence: sequence + 1, RunningFor: time.Hour, Demand: heartbeat(0, instances, 0).Demand}, now)
@@ -556,8 +560,8 @@
 	return a
 }
 
-// waitingLimiter returns a limiter with requests that wait.
-func waitingLimiter(requests int) *limiter.Limiter {
+// limiterWithQueue returns a limiter with queued requests.
+func limiterWithQueue(requests int) *limiter.Limiter {
 	const teams = 200
 	var ts []configurator.Team
 	for i := range teams {
@@ -565,41 +569,41 @@
 	}
 	l := limiter.New(limiter.Settings{Limits: configurator.LimitFair, Retries: configurator.RetryBudget, Teams: ts})
 	for i := range requests {
-		l.Offer(limiter.Request{ID: fmt.Sprint(i), Service: serviceName(i % 20), Tenant: teamName(i % teams), Deadline: epoch.Add(30 * time.Second)}, epoch)
+		l.Offer(limiter.Request{ID: fmt.Sprint(i), Service: serviceName(i % 20), Tenant: teamName(i % teams), Deadline: startTime.Add(30 * time.Second)}, startTime)
 	}
 	return l
 }
 
-func (s survey) heaps() []Series {
+func (s measurer) measureHeaps() []Series {
 	return []Series{
 		series(shardHeapByWorkers, "workers, 16 batch tasks and 3 instances each", "bytes of heap", []int{20, 50, 165}, func(n int) Sample {
-			return Sample{Bytes: heap(func() any { return newDrive(n, batchPerWorker, instancesPerWorker, s.seed).shard })}
+			return Sample{Bytes: heapInUse(func() any { return newShardDriver(n, batchPerWorker, instancesPerWorker, s.seed).shard })}
 		}),
 		series(journalHeapByJobs, "jobs", "bytes of heap", []int{250, 800, 1600}, func(n int) Sample {
 			j := journal(n, 0, 50)
 			value, _ := j.Encode()
-			return Sample{Bytes: heap(func() any {
+			return Sample{Bytes: heapInUse(func() any {
 				d, _ := scheduler.DecodeJournal(j.Shard, value)
 				return d
 			})}
 		}),
 		series(routerHeapByInstance, "instances of 20 services", "bytes of heap", []int{130, 517, 1034}, func(n int) Sample {
-			return Sample{Bytes: heap(func() any { return newRouter(n, 20, s.random()) })}
+			return Sample{Bytes: heapInUse(func() any { return newRouter(n, 20, s.random()) })}
 		}),
 		series(registrarHeap, "notices", "bytes of heap", []int{200, 500, 990}, func(n int) Sample {
-			return Sample{Bytes: heap(func() any { return restartedRegistrar(n) })}
+			return Sample{Bytes: heapInUse(func() any { return registrarAfterRestarts(n) })}
 		}),
 		series(allocatorHeap, "instances that it lends", "bytes of heap", []int{130, 260, 517}, func(n int) Sample {
-			return Sample{Bytes: heap(func() any { return usedAllocator(n) })}
+			return Sample{Bytes: heapInUse(func() any { return allocatorWithDemand(n) })}
 		}),
 		series(limiterHeap, "waiting requests of 200 teams", "bytes of heap", []int{200, 1000, 4000}, func(n int) Sample {
-			return Sample{Bytes: heap(func() any { return waitingLimiter(n) })}
+			return Sample{Bytes: heapInUse(func() any { return limiterWithQueue(n) })}
 		}),
 		series(recorderHeap, "records", "bytes of heap", []int{2000, 5000, 10000}, func(n int) Sample {
-			return Sample{Bytes: heap(func() any {
+			return Sample{Bytes: heapInUse(func() any {
 				r, _ := newRecorder()
 				for i := range n {
-					r.Add(decision(i, 5))
+					r.Add(decisionRecord(i, 5))
 				}
 				return r
 			})}
@@ -607,15 +611,15 @@
 	}
 }
 
-// all measures everything that needs no running process.
-func (s survey) all() ([]Series, error) {
-	configurations, err := s.configurations()
+// measureAll measures all series except those of measureStoreCalls.
+func (s measurer) measureAll() ([]Series, error) {
+	configurations, err := s.measureConfigurations()
 	if err != nil {
 		return nil, err
 	}
-	records, err := s.records()
+	records, err := s.measureRecords()
 	if err != nil {
 		return nil, err
 	}
-	return slices.Concat(s.journals(), s.shards(), s.placing(), s.reports(), s.heartbeats(), configurations, s.requests(), records, s.heaps()), nil
+	return slices.Concat(s.measureJournals(), s.measureShards(), s.measurePlacing(), s.measureReports(), s.measureHeartbeats(), configurations, s.measureRequests(), records, s.measureHeaps()), nil
 }
--- a/internal/surveyor/series.go
+++ b/internal/surveyor/series.go
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// Sample is one measurement.
+// Sample is one measurement. Fields that were not measured are 0.
 type Sample struct {
-	Size   float64
-	Time   float64 // processor time of one operation, microseconds; 0 if not measured
-	Bytes  float64 // encoded size, heap in use or bytes sent, as the series says
+	Size   float64 // size of the input, in units of Series.Per
+	Time   float64 // processor time of one operation in microseconds
+	Bytes  float64 // encoded size, heap in use or bytes sent, see Series.Bytes
 	Allocs float64 // heap allocations of one operation
-	Count  float64 // of what the series counts
+	Count  float64 // see Series.Counted
 }
 
 // Series is a measurement at several sizes.
 type Series struct {
 	Name    string
-	Per     string // what Size counts
-	Bytes   string // what Bytes counts, empty if nothing
-	Counted string // what Count counts, empty if nothing
+	Per     string // unit of Sample.Size
+	Bytes   string // meaning of Sample.Bytes, empty if not measured
+	Counted string // meaning of Sample.Count, empty if not measured
 	Samples []Sample
 }
 
@@ -50,21 +50,21 @@
 	return Line{Base: (sy - slope*sx) / n, Slope: slope}
 }
 
-// Fields of Sample for Fit.
+// Functions that return a field of Sample, for Series.Fit.
 func timeOf(s Sample) float64   { return s.Time }
 func bytesOf(s Sample) float64  { return s.Bytes }
 func allocsOf(s Sample) float64 { return s.Allocs }
 func countOf(s Sample) float64  { return s.Count }
 
-// column is one printed field of a series.
-type column struct {
+// tableRow is a field of a series that is printed as a row of the table.
+type tableRow struct {
 	name  string
 	field func(Sample) float64
 }
 
-func (s Series) columns() []column {
-	var cs []column
-	for _, c := range []column{{"time/us", timeOf}, {"allocations", allocsOf}, {s.Bytes, bytesOf}, {s.Counted, countOf}} {
+func (s Series) tableRows() []tableRow {
+	var cs []tableRow
+	for _, c := range []tableRow{{"time/us", timeOf}, {"allocations", allocsOf}, {s.Bytes, bytesOf}, {s.Counted, countOf}} {
 		measured := slices.ContainsFunc(s.Samples, func(m Sample) bool { return c.field(m) != 0 })
 		if c.name != "" && measured {
 			cs = append(cs, c)
@@ -73,30 +73,30 @@
 	return cs
 }
 
-// print writes the series as a Markdown table: one row for each field, one column for
-// each size, then the line through them.
-func (s Series) print(w *bytes.Buffer) {
+// writeTable writes the series as a Markdown table with one row for each measured field, one
+// column for each size, and the base and slope of the fitted line.
+func (s Series) writeTable(w *bytes.Buffer) {
 	fmt.Fprintf(w, "\n%s, by %s\n\n| figure |", s.Name, s.Per)
 	for _, m := range s.Samples {
-		fmt.Fprintf(w, " %s |", number(m.Size))
+		fmt.Fprintf(w, " %s |", formatNumber(m.Size))
 	}
 	fmt.Fprintf(w, " at 0 | per unit |\n|---|")
 	for range len(s.Samples) + 2 {
 		fmt.Fprint(w, "---:|")
 	}
 	fmt.Fprintln(w)
-	for _, c := range s.columns() {
+	for _, c := range s.tableRows() {
 		fmt.Fprintf(w, "| %s |", c.name)
 		for _, m := range s.Samples {
-			fmt.Fprintf(w, " %s |", number(c.field(m)))
+			fmt.Fprintf(w, " %s |", formatNumber(c.field(m)))
 		}
 		l := s.Fit(c.field)
-		fmt.Fprintf(w, " %s | %s |\n", number(l.Base), number(l.Slope))
+		fmt.Fprintf(w, " %s | %s |\n", formatNumber(l.Base), formatNumber(l.Slope))
 	}
 }
 
-// number prints three significant digits without an exponent.
-func number(x float64) string {
+// formatNumber formats a number with three significant digits and without an exponent.
+func formatNumber(x float64) string {
 	if x == 0 {
 		return "0"
 	}
@@ -108,8 +108,8 @@
 	return fmt.Sprintf("%.0f", math.Round(x/unit)*unit)
 }
 
-// processorTime returns the processor time that the process has used. Other processes of
-// the machine disturb it less than the wall clock.
+// processorTime returns the processor time used by this process. It depends less on other
+// processes of the machine than wall-clock time.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -118,15 +118,15 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// meter measures operations.
-type meter struct {
+// costMeter measures the cost of operations.
+type costMeter struct {
 	budget      time.Duration // processor time of one repetition
-	repetitions int           // of which the median is taken
+	repetitions int           // the result is their median
 }
 
-// cost returns processor time (us) and allocations of one call of f.
-func (m meter) cost(f func()) Sample {
-	f() // fills caches and tables
+// cost returns the processor time and allocations of one call of f.
+func (m costMeter) cost(f func()) Sample {
+	f() // the first call fills caches and tables
 	n := 1
 	for {
 		began := processorTime()
@@ -161,10 +161,10 @@
 	return xs[len(xs)/2]
 }
 
-// heap returns the bytes of heap that the value built by f keeps in use.
-func heap(f func() any) float64 {
+// heapInUse returns the bytes of heap that stay in use through the value built by f.
+func heapInUse(f func() any) float64 {
 	runtime.GC()
-	runtime.GC() // the first one leaves the pools' victims
+	runtime.GC() // the first collection keeps the victim caches of sync.Pool
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	v := f()
@@ -172,6 +172,6 @@
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	runtime.KeepAlive(v)
-	runtime.KeepAlive(f) // what it uses was there before
+	runtime.KeepAlive(f) // its captured variables were in use before
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
--- a/internal/surveyor/shard.go
+++ b/internal/surveyor/shard.go
@@ -12,44 +12,44 @@
 	"peridotpitch/internal/scheduler"
 )
 
-// drive runs one scheduler.Shard with its real placer on virtual time. Store and workers
-// answer at once, and a started job has finished by the next report.
-type drive struct {
+// shardDriver drives one scheduler.Shard with its real placer on virtual time. The emulated
+// store and workers answer at once, and a started job finishes before the next report.
+type shardDriver struct {
 	shard   *scheduler.Shard
 	now     time.Time
 	queue   []scheduler.Event
-	workers map[string]*drivenWorker
+	workers map[string]*emulatedWorker
 
 	jobs int // submitted so far
-	tally
+	actionCounts
 }
 
-// tally counts what a shard asked for.
-type tally struct {
-	writes, bytes      int // of the journal
-	messages, commands int // to workers; messages carry the commands
-	notes              int // decision records
+// actionCounts counts the actions that a shard returned.
+type actionCounts struct {
+	writes, bytes      int // journal writes and their bytes
+	messages, commands int // messages to workers and the commands in them
+	records            int // decision records
 }
 
-type drivenWorker struct {
-	report commander.Report
-	ending map[string]bool // tasks that finish with the next report
+type emulatedWorker struct {
+	report    commander.Report
+	finishing map[string]bool // tasks that the next report lists as finished
 }
 
-// newDrive returns a shard that owns the workers, and has adopted their tasks from the
-// journal of an earlier owner.
-func newDrive(workers, batch, instances int, seed uint64) *drive {
+// newShardDriver returns a driver whose shard owns the workers and has adopted their tasks from
+// the journal of an earlier owner.
+func newShardDriver(workers, batch, instances int, seed uint64) *shardDriver {
 	random := rand.New(rand.NewPCG(seed, uint64(workers)))
-	c := configuration(shape{domains: 1, hosts: 2, workers: workers, shards: 1, services: 1, instances: workers * instances, teams: 200})
-	d := &drive{now: epoch, workers: make(map[string]*drivenWorker)}
+	c := configuration(configurationSize{domains: 1, hosts: 2, workers: workers, shards: 1, services: 1, instances: workers * instances, teams: 200})
+	d := &shardDriver{now: startTime, workers: make(map[string]*emulatedWorker)}
 	d.shard = scheduler.NewShard(scheduler.Settings{
-		Shard: domain + "/0", FailureDomain: domain, Host: hostName(0), Writer: hostName(0) + "-5f3759df",
+		Shard: firstDomain + "/0", FailureDomain: firstDomain, Host: hostName(0), Writer: hostName(0) + "-5f3759df",
 		Placer: placer.New(placer.Policy{}, c.Measures, rand.New(rand.NewPCG(seed, 1))),
 	})
 	for i := range workers {
 		r := report(0, random)
-		r.Worker, r.Capacity = workerName(i), capacity(i)
-		d.workers[r.Worker] = &drivenWorker{report: r, ending: make(map[string]bool)}
+		r.Worker, r.Capacity = workerName(i), workerCapacity(i)
+		d.workers[r.Worker] = &emulatedWorker{report: r, finishing: make(map[string]bool)}
 	}
 	j := journal(workers*batch, workers*instances, workers)
 	for _, e := range j.Jobs {
@@ -59,46 +59,47 @@
 		d.add(e.Worker, taskReport(e.Task, "quotes", commander.KindService, random))
 	}
 	d.jobs = len(j.Jobs)
-	d.step(scheduler.ConfigurationChanged{Configuration: c})
-	d.step(scheduler.Claimed{Journal: j})
-	d.step(scheduler.TenureChanged{Placing: d.now.Add(time.Hour), Running: d.now.Add(time.Hour), EarlierEnds: d.now})
-	d.run(3*time.Second, 0) // fences the workers and merges their inventories
+	d.handle(scheduler.ConfigurationChanged{Configuration: c})
+	d.handle(scheduler.Claimed{Journal: j})
+	d.handle(scheduler.TenureChanged{Placing: d.now.Add(time.Hour), Running: d.now.Add(time.Hour), EarlierEnds: d.now})
+	d.advance(3*time.Second, 0) // the workers accept the epoch, and their reports are merged
 	return d
 }
 
-func (d *drive) add(worker string, t commander.TaskReport) {
+func (d *shardDriver) add(worker string, t commander.TaskReport) {
 	w := d.workers[worker]
 	w.report.Tasks = append(w.report.Tasks, t)
 }
 
-// run passes virtual time and submits jobs at a rate per second.
-func (d *drive) run(span time.Duration, rate int) {
+// advance advances the virtual time by span and submits jobs at a rate per second.
+func (d *shardDriver) advance(span time.Duration, rate int) {
 	ticks := int(span / scheduler.TickInterval)
 	perSecond := int(time.Second / scheduler.TickInterval)
 	for i := range ticks {
 		for range (i+1)*rate/perSecond - i*rate/perSecond {
-			d.step(scheduler.JobSubmitted{Request: uint64(d.jobs), Spec: scheduler.JobSpec{
-				Name: jobName(d.jobs), Class: className(1 + d.jobs%(jobClasses-1)), Team: teamName(d.jobs % 20), Declared: jobSize, Duration: time.Hour,
+			d.handle(scheduler.JobSubmitted{Request: uint64(d.jobs), Spec: scheduler.JobSpec{
+				Name: jobName(d.jobs), Class: className(1 + d.jobs%(jobClassCount-1)), Team: teamName(d.jobs % 20), Declared: jobSize, Duration: time.Hour,
 			}})
 			d.jobs++
 		}
 		d.now = d.now.Add(scheduler.TickInterval)
-		d.step(scheduler.Tick{})
+		d.handle(scheduler.Tick{})
 	}
 }
 
-// step gives an event to the shard and carries out what follows from it.
-func (d *drive) step(e scheduler.Event) {
+// handle passes an event to the shard and executes the resulting actions and events.
+func (d *shardDriver) handle(e scheduler.Event) {
 	d.queue = append(d.queue, e)
 	for len(d.queue) > 0 {
 		e, d.queue = d.queue[0], d.queue[1:]
 		for _, a := range d.shard.Step(e, d.now) {
-			d.carry(a)
+			d.execute(a)
 		}
 	}
 }
 
-func (d *drive) carry(a scheduler.Action) {
+// execute executes an action of the shard and queues the resulting event.
+func (d *shardDriver) execute(a scheduler.Action) {
 	switch a := a.(type) {
 	case scheduler.SendFence:
 		d.queue = append(d.queue, scheduler.WorkerFenced{Worker: a.Worker, Epoch: a.Epoch, Report: d.report(a.Worker), SentAt: d.now, ReceivedAt: d.now})
@@ -113,30 +114,31 @@
 		d.bytes += len(a.Value)
 		d.queue = append(d.queue, scheduler.JournalWritten{Sequence: a.Sequence})
 	case scheduler.Record:
-		d.notes++
+		d.records++
 	case scheduler.WriteRecords:
 		d.queue = append(d.queue, scheduler.RecordsWritten{Done: true})
 	}
 }
 
-// report returns a worker's report. The tasks are copied, because the shard keeps them.
-func (d *drive) report(name string) commander.Report {
+// report returns a worker's report. The tasks are copied, because the shard retains them.
+func (d *shardDriver) report(name string) commander.Report {
 	w := d.workers[name]
-	w.report.Clock = d.now.Sub(epoch) + time.Hour
+	w.report.Clock = d.now.Sub(startTime) + time.Hour
 	w.report.MeasuredAt = w.report.Clock - 500*time.Millisecond
 	r := w.report
 	r.Tasks = slices.Clone(r.Tasks)
 	for i := range w.report.Tasks {
-		if t := &w.report.Tasks[i]; w.ending[t.Task] {
+		if t := &w.report.Tasks[i]; w.finishing[t.Task] {
 			t.State = commander.TaskFinished
 			r.Tasks[i].State = commander.TaskFinished
 		}
 	}
-	clear(w.ending)
+	clear(w.finishing)
 	return r
 }
 
-func (d *drive) apply(a scheduler.SendCommands) []commander.Result {
+// apply applies commands to an emulated worker.
+func (d *shardDriver) apply(a scheduler.SendCommands) []commander.Result {
 	w := d.workers[a.Worker]
 	var rs []commander.Result
 	for _, c := range a.Commands {
@@ -146,7 +148,7 @@
 			w.report.Tasks = append(w.report.Tasks, commander.TaskReport{
 				Task: c.Task, Attempt: c.Attempt, Kind: c.Kind, Class: c.Class, State: commander.TaskRunning, Declared: c.Declared, Used: c.Declared, Slowdown: 1, LeaseEnd: c.LeaseEnd,
 			})
-			w.ending[c.Task] = true
+			w.finishing[c.Task] = true
 		case c.Verb == commander.VerbRenew && i >= 0:
 			w.report.Tasks[i].LeaseEnd = c.LeaseEnd
 		case c.Verb == commander.VerbForget && i >= 0:
@@ -157,26 +159,26 @@
 	return rs
 }
 
-// fleet returns the workers as the placer sees them, each with the given batch tasks
-// and three instances.
-func fleet(workers, batch int, seed uint64) []placer.Worker {
+// placerWorkers returns workers as input of the placer, each with a number of batch tasks and
+// three instances.
+func placerWorkers(workers, batch int, seed uint64) []placer.Worker {
 	random := rand.New(rand.NewPCG(seed, uint64(workers)))
 	var ws []placer.Worker
 	for i := range workers {
-		w := placer.Worker{Name: workerName(i), Rack: workerName(i / rackSize), FailureDomain: domain, Capacity: capacity(i), ReportedAt: epoch, Fenced: true, Version: uint64(i + 1)}
+		w := placer.Worker{Name: workerName(i), Rack: workerName(i / workersPerRack), FailureDomain: firstDomain, Capacity: workerCapacity(i), ReportedAt: startTime, Fenced: true, Version: uint64(i + 1)}
 		for k := range batch + 3 {
-			t := placer.Task{Name: jobName(i*100 + k), Class: className(random.IntN(jobClasses)), Team: teamName(random.IntN(200)), Kind: placer.KindBatch, Declared: jobSize, Attempt: 1}
+			t := placer.Task{Name: jobName(i*100 + k), Class: className(random.IntN(jobClassCount)), Team: teamName(random.IntN(200)), Kind: placer.KindBatch, Declared: jobSize, Attempt: 1}
 			if k < 3 {
 				t.Kind, t.Spread, t.Urgent = placer.KindService, serviceName(random.IntN(20)), true
 			}
-			w.Residents = append(w.Residents, placer.Resident{Task: t, Committed: jobSize, Measured: jobSize, Slowdown: 1 + random.Float64()/4, Started: epoch})
+			w.Residents = append(w.Residents, placer.Resident{Task: t, Committed: jobSize, Measured: jobSize, Slowdown: 1 + random.Float64()/4, Started: startTime})
 		}
 		ws = append(ws, w)
 	}
 	return ws
 }
 
-func quotas(teams int) map[string]configurator.Resources {
+func teamQuotas(teams int) map[string]configurator.Resources {
 	return maps.Collect(func(yield func(string, configurator.Resources) bool) {
 		for i := range teams {
 			if !yield(teamName(i), configurator.Resources{Cores: 4000, Memory: 16000 * gigabyte}) {
--- a/internal/surveyor/store.go
+++ b/internal/surveyor/store.go
@@ -17,17 +17,17 @@
 	"peridotpitch/internal/storer"
 )
 
-// callCount counts store calls of one kind.
-type callCount struct {
+// callCounts counts the store calls of one kind and area.
+type callCounts struct {
 	Calls int
 	Bytes int64 // of the values written or read
 }
 
-// countingStore counts calls by kind and by the first part of the key.
+// countingStore counts calls by kind and area. The area is the first part of the key.
 type countingStore struct {
 	storer.Store
 	mutex  sync.Mutex
-	counts map[string]callCount
+	counts map[string]callCounts // by kind and area, for example "write shards"
 }
 
 func (s *countingStore) count(kind, key string, bytes int) {
@@ -40,13 +40,13 @@
 	s.counts[kind+" "+area] = c
 }
 
-func (s *countingStore) snapshot() map[string]callCount {
+func (s *countingStore) snapshot() map[string]callCounts {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return maps.Clone(s.counts)
 }
 
-func size(es []storer.Entry) (n int) {
+func totalValueBytes(es []storer.Entry) (n int) {
 	for _, e := range es {
 		n += len(e.Value)
 	}
@@ -61,7 +61,7 @@
 
 func (s *countingStore) List(ctx context.Context, prefix string) ([]storer.Entry, uint64, error) {
 	es, revision, err := s.Store.List(ctx, prefix)
-	s.count("list", prefix, size(es))
+	s.count("list", prefix, totalValueBytes(es))
 	return es, revision, err
 }
 
@@ -72,54 +72,54 @@
 
 func (s *countingStore) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (storer.Events, error) {
 	e, err := s.Store.Watch(ctx, prefix, after, wait)
-	s.count("watch", prefix, size(e.Events))
+	s.count("watch", prefix, totalValueBytes(e.Events))
 	return e, err
 }
 
-// Calls are the store calls of the entry hosts of one failure domain. Idle and Starting
-// are per second.
-type Calls struct {
-	Hosts, Shards, Rate  int // Rate: starts per second of each shard
-	Started              int // jobs accepted while Starting was counted
-	Claim                map[string]callCount
-	Idle, Starting       map[string]rates
-	IdleWrites           float64 // of journals, per shard and second
-	StartWrites          float64
-	IdleReads            float64 // watches and lists, per host and second
-	ReadPerWrite         float64 // bytes of journals that one host reads for each byte written
-	ReadPerStart         float64 // the same while jobs start
-	JournalsOwned        int
-	RecordsCallsPerShard float64 // per second while jobs end
+// StoreCalls holds the store calls of the entry hosts of one failure domain.
+type StoreCalls struct {
+	Hosts, Shards, Rate   int                   // Rate: job starts per second of each shard
+	JobsAccepted          int                   // during startDuration
+	ClaimCalls            map[string]callCounts // until all shards were claimed
+	IdleRates, StartRates map[string]callRates  // during idleDuration and startDuration
+	IdleWritesPerShard    float64               // journal writes per second without starts
+	StartWritesPerShard   float64               // journal writes per second while jobs start
+	IdleReadsPerHost      float64               // watches and lists of journals per second without starts
+	IdleReadRatio         float64               // journal bytes that one host reads per byte written, without starts
+	StartReadRatio        float64               // journal bytes that one host reads per byte written, while jobs start
+	JournalsOwned         int                   // after claimDuration
+	HistoryCallsPerShard  float64               // calls for the job history per second while jobs start and end
 }
 
-type rates struct{ Calls, Bytes float64 }
+// callRates are calls and bytes per second.
+type callRates struct{ Calls, Bytes float64 }
 
-// Spans of a run. Claims need one ownership TTL and their stagger.
+// Durations of the phases of countStoreCalls.
 const (
-	claimSpan = 8 * time.Second
-	idleSpan  = 10 * time.Second
-	startSpan = 6 * time.Second
+	claimDuration = 8 * time.Second // more than an ownership TTL and the stagger of claims
+	idleDuration  = 10 * time.Second
+	startDuration = 6 * time.Second
 )
 
-// storeCalls runs the proprietors of one failure domain against the store stand-in and
-// counts their calls, while nothing starts and while jobs start at a rate. It takes 24 s
-// of the clock of package time, which is virtual inside a synctest bubble.
-func storeCalls(ctx context.Context, hosts, shards, rate int, seed uint64) (Calls, error) {
+// countStoreCalls runs the proprietors of one failure domain against an emulated store and
+// counts their calls, first without starts and then while jobs start at a rate. It takes 24 s,
+// in virtual time inside a synctest bubble.
+func countStoreCalls(ctx context.Context, hosts, shards, rate int, seed uint64) (StoreCalls, error) {
 	const workers = 4 // of each shard
-	out := Calls{Hosts: hosts, Shards: shards, Rate: rate}
-	c := configuration(shape{domains: 2, hosts: hosts, workers: shards * workers, shards: shards, services: 1, instances: shards, teams: 1})
-	store := &countingStore{Store: emulator.NewStore(emulator.StoreOptions{}), counts: make(map[string]callCount)}
+	out := StoreCalls{Hosts: hosts, Shards: shards, Rate: rate}
+	c := configuration(configurationSize{domains: 2, hosts: hosts, workers: shards * workers, shards: shards, services: 1, instances: shards, teams: 1})
+	store := &countingStore{Store: emulator.NewStore(emulator.StoreOptions{}), counts: make(map[string]callCounts)}
 	workersOf := make(emulator.Fleet)
 	for i, w := range c.Workers {
 		workersOf[w.Address] = emulator.NewMachine(emulator.MachineOptions{Name: w.Name, Capacity: w.Capacity, Seed: seed + uint64(i)})
 	}
 	var ps []*proprietor.Proprietor
 	for i, h := range c.EntryHosts {
-		if h.FailureDomain != domain {
+		if h.FailureDomain != firstDomain {
 			continue
 		}
 		p, stop, err := proprietor.New(proprietor.Settings{
-			Host: h.Name, FailureDomain: domain, Incarnation: h.Name + "-1", Store: store, Workers: workersOf,
+			Host: h.Name, FailureDomain: firstDomain, Incarnation: h.Name + "-1", Store: store, Workers: workersOf,
 			Random: rand.New(rand.NewPCG(seed, uint64(i))),
 		})
 		if err != nil {
@@ -129,67 +129,68 @@
 		p.Configure(c)
 		ps = append(ps, p)
 	}
-	if err := wait(ctx, claimSpan); err != nil {
+	if err := sleep(ctx, claimDuration); err != nil {
 		return out, err
 	}
 	for _, p := range ps {
 		out.JournalsOwned += len(p.Claims())
 	}
-	out.Claim = store.snapshot()
-	if err := wait(ctx, idleSpan); err != nil {
+	out.ClaimCalls = store.snapshot()
+	if err := sleep(ctx, idleDuration); err != nil {
 		return out, err
 	}
 	idle := store.snapshot()
-	out.Idle = between(out.Claim, idle, idleSpan)
-	if err := out.start(ctx, ps, shards, rate); err != nil {
+	out.IdleRates = ratesBetween(out.ClaimCalls, idle, idleDuration)
+	if err := out.submitJobs(ctx, ps, shards, rate); err != nil {
 		return out, err
 	}
-	out.Starting = between(idle, store.snapshot(), startSpan)
-	out.IdleWrites = out.Idle["write shards"].Calls / float64(shards)
-	out.StartWrites = out.Starting["write shards"].Calls / float64(shards)
-	out.IdleReads = (out.Idle["watch shards"].Calls + out.Idle["list shards"].Calls) / float64(hosts)
-	out.ReadPerWrite = out.Idle["watch shards"].Bytes / float64(hosts) / max(1, out.Idle["write shards"].Bytes)
-	out.ReadPerStart = out.Starting["watch shards"].Bytes / float64(hosts) / max(1, out.Starting["write shards"].Bytes)
-	out.RecordsCallsPerShard = (out.Starting["write records"].Calls + out.Starting["get records"].Calls) / float64(shards)
+	out.StartRates = ratesBetween(idle, store.snapshot(), startDuration)
+	out.IdleWritesPerShard = out.IdleRates["write shards"].Calls / float64(shards)
+	out.StartWritesPerShard = out.StartRates["write shards"].Calls / float64(shards)
+	out.IdleReadsPerHost = (out.IdleRates["watch shards"].Calls + out.IdleRates["list shards"].Calls) / float64(hosts)
+	out.IdleReadRatio = out.IdleRates["watch shards"].Bytes / float64(hosts) / max(1, out.IdleRates["write shards"].Bytes)
+	out.StartReadRatio = out.StartRates["watch shards"].Bytes / float64(hosts) / max(1, out.StartRates["write shards"].Bytes)
+	out.HistoryCallsPerShard = (out.StartRates["write records"].Calls + out.StartRates["get records"].Calls) / float64(shards)
 	return out, nil
 }
 
-// start submits jobs at the rate for startSpan.
-func (c *Calls) start(ctx context.Context, ps []*proprietor.Proprietor, shards, rate int) error {
+// submitJobs submits jobs at a rate per second and shard for startDuration.
+func (c *StoreCalls) submitJobs(ctx context.Context, ps []*proprietor.Proprietor, shards, rate int) error {
 	const step = 100 * time.Millisecond
 	var g errgroup.Group
 	var mutex sync.Mutex
 	n := 0
-	for i := range int(startSpan / step) {
+	for i := range int(startDuration / step) {
 		for due := (i + 1) * rate * shards * int(step) / int(time.Second); n < due; n++ {
-			name := homeName(ps[0], n)
+			name := jobNameInFirstDomain(ps[0], n)
 			g.Go(func() error {
-				if submit(ctx, ps, name) {
+				if submitJob(ctx, ps, name) {
 					mutex.Lock()
-					c.Started++
+					c.JobsAccepted++
 					mutex.Unlock()
 				}
 				return nil
 			})
 		}
-		if err := wait(ctx, step); err != nil {
+		if err := sleep(ctx, step); err != nil {
 			return err
 		}
 	}
 	return g.Wait()
 }
 
-// homeName returns the name of a job whose home shard is in the first failure domain.
-func homeName(p *proprietor.Proprietor, n int) string {
+// jobNameInFirstDomain returns the name of a job whose home shard is in the first failure domain.
+func jobNameInFirstDomain(p *proprietor.Proprietor, n int) string {
 	for k := 0; ; k++ {
-		if name := fmt.Sprintf("%s-%d", jobName(n), k); strings.HasPrefix(p.HomeShard(name), domain+"/") {
+		if name := fmt.Sprintf("%s-%d", jobName(n), k); strings.HasPrefix(p.HomeShard(name), firstDomain+"/") {
 			return name
 		}
 	}
 }
 
-// submit asks each host, of which one owns the job's home shard.
-func submit(ctx context.Context, ps []*proprietor.Proprietor, name string) bool {
+// submitJob submits a job to each host until the owner of its home shard answers, and reports
+// whether it was accepted.
+func submitJob(ctx context.Context, ps []*proprietor.Proprietor, name string) bool {
 	for _, p := range ps {
 		a, err := p.Submit(ctx, scheduler.JobSpec{Name: name, Class: className(1), Declared: jobSize, Duration: time.Second})
 		if err == nil {
@@ -199,15 +200,17 @@
 	return false
 }
 
-func between(a, b map[string]callCount, span time.Duration) map[string]rates {
-	out := make(map[string]rates)
+// ratesBetween returns the rates of the calls between two snapshots.
+func ratesBetween(a, b map[string]callCounts, span time.Duration) map[string]callRates {
+	out := make(map[string]callRates)
 	for k, v := range b {
-		out[k] = rates{float64(v.Calls-a[k].Calls) / span.Seconds(), float64(v.Bytes-a[k].Bytes) / span.Seconds()}
+		out[k] = callRates{float64(v.Calls-a[k].Calls) / span.Seconds(), float64(v.Bytes-a[k].Bytes) / span.Seconds()}
 	}
 	return out
 }
 
-func wait(ctx context.Context, d time.Duration) error {
+// sleep waits for d or until ctx is done.
+func sleep(ctx context.Context, d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -227,43 +230,43 @@
 	claimCallsByShards = "Store calls until 2 entry hosts have claimed all shards"
 )
 
-// stores runs the proprietors at several sizes, all at the same time: only calls are
-// counted.
-func (s survey) stores(ctx context.Context) ([]Series, error) {
+// measureStoreCalls runs the proprietors with several numbers of hosts and shards. The runs are
+// concurrent, because they count calls and measure no times.
+func (s measurer) measureStoreCalls(ctx context.Context) ([]Series, error) {
 	type run struct{ hosts, shards, rate int }
 	runs := []run{{2, 1, 2}, {2, 2, 10}, {2, 4, 20}, {3, 4, 20}, {4, 4, 20}}
-	results := make([]Calls, len(runs))
+	results := make([]StoreCalls, len(runs))
 	g, ctx := errgroup.WithContext(ctx)
 	for i, r := range runs {
 		g.Go(func() (err error) {
-			results[i], err = storeCalls(ctx, r.hosts, r.shards, r.rate, s.seed)
+			results[i], err = countStoreCalls(ctx, r.hosts, r.shards, r.rate, s.seed)
 			return err
 		})
 	}
 	if err := g.Wait(); err != nil {
 		return nil, err
 	}
-	pick := func(name, per, counted string, indexes []int, size, count func(Calls) float64) Series {
+	newSeries := func(name, per, counted string, indexes []int, size, count func(StoreCalls) float64) Series {
 		out := Series{Name: name, Per: per, Counted: counted}
 		for _, i := range indexes {
 			out.Samples = append(out.Samples, Sample{Size: size(results[i]), Count: count(results[i])})
 		}
 		return out
 	}
-	shards := func(c Calls) float64 { return float64(c.Shards) }
-	hosts := func(c Calls) float64 { return float64(c.Hosts) }
-	reads := func(c Calls) float64 { return c.IdleReads * float64(c.Hosts) }
+	shards := func(c StoreCalls) float64 { return float64(c.Shards) }
+	hosts := func(c StoreCalls) float64 { return float64(c.Hosts) }
+	reads := func(c StoreCalls) float64 { return c.IdleReadsPerHost * float64(c.Hosts) }
 	return []Series{
-		pick(callsIdleByShards+": writes", "shards", "writes per second", []int{0, 1, 2}, shards, func(c Calls) float64 { return c.IdleWrites * float64(c.Shards) }),
-		pick(callsIdleByShards+": reads", "shards", "reads per second", []int{0, 1, 2}, shards, reads),
-		pick(callsIdleByHosts+": reads", "entry hosts", "reads per second", []int{2, 3, 4}, hosts, reads),
-		pick(callsByStarts, "starts per second", "writes per second", []int{0, 1, 2}, func(c Calls) float64 { return float64(c.Rate) }, func(c Calls) float64 { return c.StartWrites }),
-		pick(callsByStarts+": records of ended jobs", "starts per second", "calls per second", []int{0, 1, 2}, func(c Calls) float64 { return float64(c.Rate) }, func(c Calls) float64 { return c.RecordsCallsPerShard }),
-		pick(readBytesByHosts, "entry hosts", "bytes read per byte written", []int{2, 3, 4}, hosts, func(c Calls) float64 { return c.ReadPerWrite * float64(c.Hosts) }),
-		pick(readBytesByHosts+", while jobs start", "entry hosts", "bytes read per byte written", []int{2, 3, 4}, hosts, func(c Calls) float64 { return c.ReadPerStart * float64(c.Hosts) }),
-		pick(claimCallsByShards, "shards", "calls", []int{0, 1, 2}, shards, func(c Calls) float64 {
+		newSeries(callsIdleByShards+": writes", "shards", "writes per second", []int{0, 1, 2}, shards, func(c StoreCalls) float64 { return c.IdleWritesPerShard * float64(c.Shards) }),
+		newSeries(callsIdleByShards+": reads", "shards", "reads per second", []int{0, 1, 2}, shards, reads),
+		newSeries(callsIdleByHosts+": reads", "entry hosts", "reads per second", []int{2, 3, 4}, hosts, reads),
+		newSeries(callsByStarts, "starts per second", "writes per second", []int{0, 1, 2}, func(c StoreCalls) float64 { return float64(c.Rate) }, func(c StoreCalls) float64 { return c.StartWritesPerShard }),
+		newSeries(callsByStarts+": records of ended jobs", "starts per second", "calls per second", []int{0, 1, 2}, func(c StoreCalls) float64 { return float64(c.Rate) }, func(c StoreCalls) float64 { return c.HistoryCallsPerShard }),
+		newSeries(readBytesByHosts, "entry hosts", "bytes read per byte written", []int{2, 3, 4}, hosts, func(c StoreCalls) float64 { return c.IdleReadRatio * float64(c.Hosts) }),
+		newSeries(readBytesByHosts+", while jobs start", "entry hosts", "bytes read per byte written", []int{2, 3, 4}, hosts, func(c StoreCalls) float64 { return c.StartReadRatio * float64(c.Hosts) }),
+		newSeries(claimCallsByShards, "shards", "calls", []int{0, 1, 2}, shards, func(c StoreCalls) float64 {
 			n := 0
-			for _, v := range c.Claim {
+			for _, v := range c.ClaimCalls {
 				n += v.Calls
 			}
 			return float64(n)
