--- a/internal/administrator/client.go
+++ b/internal/administrator/client.go
@@ -22,15 +22,15 @@
 // maxAnswerBytes bounds the body of an answer. A list of 16,000 jobs takes about 8 MB.
 const maxAnswerBytes = 64 << 20
 
-// UnreachableError reports that no usable answer arrived. If Sent is set, a request that
+// NoAnswerError reports that no usable answer arrived. If Sent is set, a request that
 // changes state may have taken effect.
-type UnreachableError struct {
+type NoAnswerError struct {
 	Address netip.AddrPort
 	Sent    bool
 	Cause   error
 }
 
-func (e *UnreachableError) Error() string {
+func (e *NoAnswerError) Error() string {
 	if e.Sent {
 		return fmt.Sprintf("no answer from entry host %s, the request may have taken effect: %v", e.Address, e.Cause)
 	}
@@ -38,7 +38,7 @@
 }
 
 // Unwrap returns the cause.
-func (e *UnreachableError) Unwrap() error { return e.Cause }
+func (e *NoAnswerError) Unwrap() error { return e.Cause }
 
 // Client sends operators' requests to one entry host. Its methods are those of Backend;
 // their errors are of type *Error or *UnreachableError. It never retries a request. It is
@@ -137,7 +137,7 @@
 	if body != nil {
 		raw, err := json.Marshal(body)
 		if err != nil {
-			return answer, &UnreachableError{Address: c.address, Cause: err}
+			return answer, &NoAnswerError{Address: c.address, Cause: err}
 		}
 		req.Header.SetContentType("application/json")
 		req.SetBodyRaw(raw)
@@ -152,13 +152,13 @@
 // avoided because a retried submission could hide that the first attempt took effect.
 func (c *Client) do(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) error {
 	if err := ctx.Err(); err != nil {
-		return &UnreachableError{Address: c.address, Cause: err}
+		return &NoAnswerError{Address: c.address, Cause: err}
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	connection, err := (&net.Dialer{}).DialContext(ctx, "tcp", c.address.String())
 	if err != nil {
-		return &UnreachableError{Address: c.address, Cause: err}
+		return &NoAnswerError{Address: c.address, Cause: err}
 	}
 	defer func() { _ = connection.Close() }()
 	stop := context.AfterFunc(ctx, func() { _ = connection.Close() })
@@ -167,7 +167,7 @@
 		if ctx.Err() != nil {
 			err = ctx.Err() // the connection was closed because ctx ended
 		}
-		return &UnreachableError{Address: c.address, Sent: true, Cause: err}
+		return &NoAnswerError{Address: c.address, Sent: true, Cause: err}
 	}
 	return nil
 }
@@ -176,14 +176,14 @@
 	var answer T
 	if resp.StatusCode() == fasthttp.StatusOK {
 		if err := json.Unmarshal(resp.Body(), &answer); err != nil {
-			return answer, &UnreachableError{Address: c.address, Sent: true, Cause: err}
+			return answer, &NoAnswerError{Address: c.address, Sent: true, Cause: err}
 		}
 		return answer, nil
 	}
 	var failure struct{ Error *Error }
 	decoder := json.NewDecoder(bytes.NewReader(resp.Body()))
 	if err := decoder.Decode(&failure); err != nil || failure.Error == nil {
-		return answer, &UnreachableError{Address: c.address, Sent: true,
+		return answer, &NoAnswerError{Address: c.address, Sent: true,
 			Cause: fmt.Errorf("status %d without a readable error", resp.StatusCode())}
 	}
 	return answer, failure.Error
--- a/internal/administrator/server_test.go
+++ b/internal/administrator/server_test.go
@@ -210,7 +210,7 @@
 			_ = c.Close()
 		}
 	}()
-	var unreachable *UnreachableError
+	var unreachable *NoAnswerError
 	err = NewClient(address, 10*time.Second).DrainHost(t.Context(), "w1", false)
 	is.True(errors.As(err, &unreachable))
 	is.True(unreachable.Sent)
@@ -220,8 +220,8 @@
 	is.True(!unreachable.Sent)
 }
 
-func ExampleUnreachableError() {
-	err := &UnreachableError{Address: netip.MustParseAddrPort("10.1.0.1:7300"), Sent: true, Cause: errors.New("connection closed")}
+func ExampleNoAnswerError() {
+	err := &NoAnswerError{Address: netip.MustParseAddrPort("10.1.0.1:7300"), Sent: true, Cause: errors.New("connection closed")}
 	fmt.Println(err)
 	// Output: no answer from entry host 10.1.0.1:7300, the request may have taken effect: connection closed
 }
--- a/internal/commander/client.go
+++ b/internal/commander/client.go
@@ -16,23 +16,23 @@
 const (
 	// maxAnswerBytes bounds an answer. A report with 1,000 tasks takes about 400 kB.
 	maxAnswerBytes = 8 << 20
-	// maxPosterIdle is the time without calls after which the poster of an address is
+	// maxRequesterIdle is the time without calls after which the poster of an address is
 	// removed.
-	maxPosterIdle = 10 * time.Minute
+	maxRequesterIdle = 10 * time.Minute
 	// maxConnectionsPerWorker is above 1 so that a slow call does not delay the next report.
 	maxConnectionsPerWorker = 8
 )
 
-// UnreachableError reports that a worker gave no usable answer. If Sent is true, the message
+// NoAnswerError reports that a worker gave no usable answer. If Sent is true, the message
 // may have taken effect; if it is false, the message had no effect.
-type UnreachableError struct {
+type NoAnswerError struct {
 	Address netip.AddrPort
 	Sent    bool
 	Status  int // HTTP status, 0 if no answer arrived
 	Reason  string
 }
 
-func (e *UnreachableError) Error() string {
+func (e *NoAnswerError) Error() string {
 	return fmt.Sprintf("worker %s gave no usable answer (sent=%t): %s", e.Address, e.Sent, e.Reason)
 }
 
@@ -44,19 +44,19 @@
 
 // Client implements Workers over HTTP. It keeps a connection pool for each worker.
 type Client struct {
-	options poster.Options
-	mu      sync.Mutex // guards posters; not held during calls
-	posters map[netip.AddrPort]*posterEntry
+	options    poster.Options
+	mu         sync.Mutex // guards posters; not held during calls
+	requesters map[netip.AddrPort]*requesterEntry
 }
 
-// posterEntry is the connection pool of one worker.
-type posterEntry struct {
-	poster     *poster.Poster
+// requesterEntry is the connection pool of one worker.
+type requesterEntry struct {
+	requester  *poster.Requester
 	closeIdle  func()
 	lastUsedAt time.Time
 }
 
-var _ Workers = (*Client)(nil)
+var _ WorkerClient = (*Client)(nil)
 
 // NewClient returns a client, and a function that closes its idle connections.
 func NewClient(o Options) (*Client, func()) {
@@ -65,7 +65,7 @@
 			Timeout: o.Timeout, DialTimeout: o.DialTimeout,
 			MaxConnections: maxConnectionsPerWorker, MaxAnswerBytes: maxAnswerBytes,
 		},
-		posters: make(map[netip.AddrPort]*posterEntry),
+		requesters: make(map[netip.AddrPort]*requesterEntry),
 	}
 	return c, c.close
 }
@@ -99,55 +99,55 @@
 	err := c.call(ctx, address, "/worker/apply", in, &out)
 	if err == nil && out.Accepted && len(out.Results) != len(commands) {
 		reason := fmt.Sprintf("%d results for %d commands", len(out.Results), len(commands))
-		return ApplyAnswer{}, &UnreachableError{Address: address, Sent: true, Status: http.StatusOK, Reason: reason}
+		return ApplyAnswer{}, &NoAnswerError{Address: address, Sent: true, Status: http.StatusOK, Reason: reason}
 	}
 	return out, err
 }
 
 func (c *Client) call(ctx context.Context, address netip.AddrPort, path string, in, out any) error {
-	a, err := c.posterFor(address).Post(ctx, path, in)
+	a, err := c.requesterFor(address).Post(ctx, path, in)
 	if err != nil {
 		var pe *poster.Error
 		sent := !errors.As(err, &pe) || pe.Sent
-		return &UnreachableError{Address: address, Sent: sent, Reason: err.Error()}
+		return &NoAnswerError{Address: address, Sent: sent, Reason: err.Error()}
 	}
 	if a.Status != http.StatusOK {
 		reason := fmt.Sprintf("%s was answered with status %d", path, a.Status)
-		return &UnreachableError{Address: address, Sent: true, Status: a.Status, Reason: reason}
+		return &NoAnswerError{Address: address, Sent: true, Status: a.Status, Reason: reason}
 	}
 	if err := json.Unmarshal(a.Body, out); err != nil {
 		reason := fmt.Sprintf("answer to %s cannot be decoded: %v", path, err)
-		return &UnreachableError{Address: address, Sent: true, Status: a.Status, Reason: reason}
+		return &NoAnswerError{Address: address, Sent: true, Status: a.Status, Reason: reason}
 	}
 	return nil
 }
 
-// posterFor returns the poster of address. When it creates one, it removes those that have
+// requesterFor returns the poster of address. When it creates one, it removes those that have
 // been unused for maxPosterIdle, so that posters of replaced workers do not accumulate.
-func (c *Client) posterFor(address netip.AddrPort) *poster.Poster {
+func (c *Client) requesterFor(address netip.AddrPort) *poster.Requester {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if e, ok := c.posters[address]; ok {
+	if e, ok := c.requesters[address]; ok {
 		e.lastUsedAt = now
-		return e.poster
+		return e.requester
 	}
-	for a, e := range c.posters {
-		if now.Sub(e.lastUsedAt) > maxPosterIdle {
+	for a, e := range c.requesters {
+		if now.Sub(e.lastUsedAt) > maxRequesterIdle {
 			e.closeIdle()
-			delete(c.posters, a)
+			delete(c.requesters, a)
 		}
 	}
 	p, stop := poster.New(address, c.options)
-	c.posters[address] = &posterEntry{poster: p, closeIdle: stop, lastUsedAt: now}
+	c.requesters[address] = &requesterEntry{requester: p, closeIdle: stop, lastUsedAt: now}
 	return p
 }
 
 func (c *Client) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for a, e := range c.posters {
+	for a, e := range c.requesters {
 		e.closeIdle()
-		delete(c.posters, a)
+		delete(c.requesters, a)
 	}
 }
--- a/internal/commander/client_test.go
+++ b/internal/commander/client_test.go
@@ -74,7 +74,7 @@
 			is := is.New(t)
 			_, address, c := startWorker(t, f)
 			_, err := c.Apply(t.Context(), address, 1, "e1", []commander.Command{startService})
-			var u *commander.UnreachableError
+			var u *commander.NoAnswerError
 			is.True(errors.As(err, &u))
 			is.True(u.Sent)
 		})
@@ -87,7 +87,7 @@
 		c, closeIdle := commander.NewClient(commander.Options{})
 		defer closeIdle()
 		_, err = c.Report(t.Context(), address)
-		var u *commander.UnreachableError
+		var u *commander.NoAnswerError
 		is.True(errors.As(err, &u))
 		is.True(!u.Sent)
 	})
--- a/internal/commander/message.go
+++ b/internal/commander/message.go
@@ -127,9 +127,9 @@
 	Results  []Result
 }
 
-// Workers sends messages to workers. After an error of type *UnreachableError, the message
+// WorkerClient sends messages to workers. After an error of type *UnreachableError, the message
 // may have taken effect if the error's Sent is true.
-type Workers interface {
+type WorkerClient interface {
 	Fence(ctx context.Context, address netip.AddrPort, epoch uint64, owner string) (FenceAnswer, error)
 	Report(ctx context.Context, address netip.AddrPort) (Report, error)
 	Apply(ctx context.Context, address netip.AddrPort, epoch uint64, owner string, commands []Command) (ApplyAnswer, error)
--- a/internal/commandline/output.go
+++ b/internal/commandline/output.go
@@ -67,7 +67,7 @@
 func classify(err error) (int, *administrator.Error) {
 	var usage *usageError
 	var remote *administrator.Error
-	var unreachable *administrator.UnreachableError
+	var unreachable *administrator.NoAnswerError
 	var invalid *configurator.InvalidError
 	switch {
 	case errors.As(err, &usage):
--- a/internal/commandline/run.go
+++ b/internal/commandline/run.go
@@ -30,12 +30,12 @@
 // entry host, so that the host's answer arrives also when its own limit expires.
 const defaultTimeout = administrator.RequestTimeout + 5*time.Second
 
-// Serve runs an entry host until ctx ends.
-type Serve func(ctx context.Context, s loader.Settings) error
+// ServeFunc runs an entry host until ctx ends.
+type ServeFunc func(ctx context.Context, s loader.Settings) error
 
-// Entry runs an entry host on the users' platform until ctx ends. path is the path of the
+// EntryFunc runs an entry host on the users' platform until ctx ends. path is the path of the
 // settings file.
-type Entry func(ctx context.Context, path string) error
+type EntryFunc func(ctx context.Context, path string) error
 
 // Environment contains the streams, variables and functions that the process provides to a
 // subcommand.
@@ -43,8 +43,8 @@
 	Stdout io.Writer
 	Stderr io.Writer
 	Getenv func(string) string
-	Serve  Serve
-	Entry  Entry
+	Serve  ServeFunc
+	Entry  EntryFunc
 	// CheckEntry checks the settings file of an entry host on the users' platform.
 	CheckEntry func(path string) error
 	// SettingsVariable is the environment variable with the default path of the settings
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -33,7 +33,7 @@
 
 // Peers are the external dependencies of a Coordinator.
 type Peers struct {
-	Store   storer.Database
+	Store   storer.TransactionalStore
 	Workers Workers
 	Decoder Decoder
 	Keys    Keys
@@ -43,7 +43,7 @@
 type Coordinator struct {
 	settings  Settings
 	deps      Peers
-	store     storer.Database // deps.Store, which also reports each call's result to recordStoreResult
+	store     storer.TransactionalStore // deps.Store, which also reports each call's result to recordStoreResult
 	log       *slog.Logger
 	metrics   *metrics
 	processID string // identifies this process in the store and to other hosts
@@ -75,7 +75,7 @@
 		configRefetch: make(chan struct{}, 1),
 		clients:       make(map[netip.AddrPort]*messenger.Client),
 	}
-	c.store = observedStore{Database: p.Store, onResult: c.recordStoreResult}
+	c.store = observedStore{TransactionalStore: p.Store, onResult: c.recordStoreResult}
 	return c
 }
 
@@ -87,7 +87,7 @@
 	if err != nil {
 		return fmt.Errorf("listen for other entry hosts: %w", err)
 	}
-	_, closeServer := messenger.ServeMethods(l, c.peerMethods(), c.log)
+	_, closeServer := messenger.NewMethodServer(l, c.peerMethods(), c.log)
 	defer closeServer()
 	defer c.closeClients()
 	c.log.Info("Start", "Host", c.settings.Name, "FailureDomain", c.settings.FailureDomain, "Process", c.processID,
--- a/internal/dispatcher/request.go
+++ b/internal/dispatcher/request.go
@@ -44,9 +44,9 @@
 	case limiter.Drop:
 		d.record(r, DecisionRefuse, string(v.Reason), "admission", "not-run", nil)
 		return receiver.NotRun{
-			Reason:     string(v.Reason),
-			Quota:      v.Reason == limiter.ReasonTenantQuota,
-			RetryAfter: v.RetryAfter,
+			Reason:        string(v.Reason),
+			QuotaExceeded: v.Reason == limiter.ReasonTenantQuota,
+			RetryAfter:    v.RetryAfter,
 		}
 	case router.None:
 		d.record(r, DecisionRefuse, v.Reason, "routing", "not-run", v.Candidates)
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -475,7 +475,7 @@
 // Fleet maps addresses to machines. It implements commander.Workers without a network.
 type Fleet map[netip.AddrPort]*Machine
 
-var _ commander.Workers = Fleet{}
+var _ commander.WorkerClient = Fleet{}
 
 // Fence implements commander.Workers.
 func (f Fleet) Fence(_ context.Context, address netip.AddrPort, epoch uint64, owner string) (commander.FenceAnswer, error) {
@@ -502,15 +502,15 @@
 func (f Fleet) call(address netip.AddrPort, do func(*Machine)) error {
 	m, ok := f[address]
 	if !ok {
-		return &commander.UnreachableError{Address: address, Reason: "connection refused"}
+		return &commander.NoAnswerError{Address: address, Reason: "connection refused"}
 	}
 	faults := m.faults.get()
 	if faults.Down || faults.CutRequests {
-		return &commander.UnreachableError{Address: address, Sent: true, Reason: "no answer"}
+		return &commander.NoAnswerError{Address: address, Sent: true, Reason: "no answer"}
 	}
 	do(m)
 	if faults.CutAnswers || m.faults.draw(faults.LoseAnswers) {
-		return &commander.UnreachableError{Address: address, Sent: true, Reason: "answer lost"}
+		return &commander.NoAnswerError{Address: address, Sent: true, Reason: "answer lost"}
 	}
 	return nil
 }
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -191,7 +191,7 @@
 }
 
 func (s *Store) compareAndSwap(key string, expect uint64, data []byte, leaseName string) (bool, uint64, error) {
-	if len(data) > storer.MaxValueSize {
+	if len(data) > storer.MaxValueBytes {
 		return false, 0, &storer.TooLargeError{Key: key, Size: len(data)}
 	}
 	s.mu.Lock()
--- a/internal/messenger/client_test.go
+++ b/internal/messenger/client_test.go
@@ -35,7 +35,7 @@
 
 func (h *blockingHandler) Exchange(_ context.Context, m Heartbeat) (HeartbeatAnswer, error) {
 	return HeartbeatAnswer{Identity: Identity{Host: "e2", Generation: m.Generation}, Free: map[string]int{"quotes": 3},
-		Promises: []Promise{{Shard: "a/1", Epoch: 7, Kind: TenurePlacing}}}, nil
+		Promises: []Promise{{Shard: "a/1", Epoch: 7, Kind: LeasePlacing}}}, nil
 }
 
 func (h *blockingHandler) Forward(ctx context.Context, m ForwardRequest) (ForwardAnswer, error) {
@@ -100,7 +100,7 @@
 	is.NoErr(err)
 	is.Equal(a.Generation, uint64(9))
 	is.Equal(a.Free, map[string]int{"quotes": 3})
-	is.Equal(a.Promises, []Promise{{Shard: "a/1", Epoch: 7, Kind: TenurePlacing}})
+	is.Equal(a.Promises, []Promise{{Shard: "a/1", Epoch: 7, Kind: LeasePlacing}})
 	close(h.release)
 	body := make([]byte, 1<<20)
 	body[1<<19] = 1
--- a/internal/messenger/encoding_test.go
+++ b/internal/messenger/encoding_test.go
@@ -77,12 +77,12 @@
 var fuzzSeeds = map[string]any{
 	"FuzzHeartbeat": Heartbeat{
 		Identity: Identity{Host: "e1", FailureDomain: "malolos", Incarnation: "e1-1", Generation: 4, InEffectFor: time.Second, Notices: []HostNotice{{Host: "w1", Source: SourcePlatform, Leaving: true, Version: 3}}},
-		Claims:   []ShardClaim{{Shard: "malolos/a", Epoch: 2, Kinds: []TenureKind{TenurePlacing, TenureRunning}}},
+		Claims:   []ShardClaim{{Shard: "malolos/a", Epoch: 2, Kinds: []LeaseKind{LeasePlacing, LeaseRunning}}},
 		Demand:   []SlotDemand{{Instance: "quotes-1", InUse: 1, Wanted: 3}},
 	},
 	"FuzzHeartbeatAnswer": HeartbeatAnswer{
 		Identity:  Identity{Host: "e2", Leaving: true},
-		Promises:  []Promise{{Shard: "malolos/a", Epoch: 2, Kind: TenureRunning}},
+		Promises:  []Promise{{Shard: "malolos/a", Epoch: 2, Kind: LeaseRunning}},
 		Grants:    []SlotGrant{{Instance: "quotes-1", Slots: 2, For: 3 * time.Second, Epoch: 2}},
 		Endpoints: []Endpoint{{Instance: "quotes-1", Address: "127.0.0.1:9000", Slots: 8, Connections: 64, Slowdown: 1.25}},
 		Free:      map[string]int{"quotes": 5},
--- a/internal/messenger/message.go
+++ b/internal/messenger/message.go
@@ -11,13 +11,13 @@
 // MaxMessageBytes is the maximum size of an encoded message.
 const MaxMessageBytes = 4 << 20
 
-// TenureKind distinguishes the two ownership leases of a shard.
-type TenureKind string
+// LeaseKind distinguishes the two ownership leases of a shard.
+type LeaseKind string
 
 // Kinds of ownership leases.
 const (
-	TenurePlacing TenureKind = "placing" // the owner may place and start tasks
-	TenureRunning TenureKind = "running" // the owner may keep tasks running
+	LeasePlacing LeaseKind = "placing" // the owner may place and start tasks
+	LeaseRunning LeaseKind = "running" // the owner may keep tasks running
 )
 
 // Identity describes the sender of a heartbeat or of its answer.
@@ -58,7 +58,7 @@
 type ShardClaim struct {
 	Shard string
 	Epoch uint64
-	Kinds []TenureKind // leases for which the sender requests a Promise
+	Kinds []LeaseKind // leases for which the sender requests a Promise
 }
 
 // SlotDemand is the number of slots of an instance that the sender uses and wants.
@@ -73,7 +73,7 @@
 type Promise struct {
 	Shard string
 	Epoch uint64
-	Kind  TenureKind
+	Kind  LeaseKind
 }
 
 // SlotGrant permits the host that sent the heartbeat to use slots of an instance's pool
--- a/internal/messenger/server.go
+++ b/internal/messenger/server.go
@@ -131,11 +131,11 @@
 	for name, bind := range handlerMethods {
 		bound[name] = bind(h)
 	}
-	return ServeMethods(l, bound, log)
+	return NewMethodServer(l, bound, log)
 }
 
-// ServeMethods is like NewServer, but serves methods by their names instead of a Handler.
-func ServeMethods(l net.Listener, byName map[string]Method, log *slog.Logger) (*Server, func()) {
+// NewMethodServer is like NewServer, but serves methods by their names instead of a Handler.
+func NewMethodServer(l net.Listener, byName map[string]Method, log *slog.Logger) (*Server, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Server{methods: byName, log: log, cancel: cancel, stopped: make(chan struct{})}
 	d := drpcserver.NewWithOptions(s, drpcserver.Options{
--- a/internal/poster/poster.go
+++ b/internal/poster/poster.go
@@ -73,17 +73,17 @@
 	Body       []byte
 }
 
-// Poster sends requests to one address. It is safe for concurrent use.
-type Poster struct {
+// Requester sends requests to one address. It is safe for concurrent use.
+type Requester struct {
 	address netip.AddrPort
 	options Options
 	client  *fasthttp.HostClient
 }
 
 // New returns a Poster and a function that closes its idle connections.
-func New(address netip.AddrPort, o Options) (*Poster, func()) {
+func New(address netip.AddrPort, o Options) (*Requester, func()) {
 	o = o.withDefaults()
-	p := &Poster{address: address, options: o}
+	p := &Requester{address: address, options: o}
 	p.client = &fasthttp.HostClient{
 		Addr:                address.String(),
 		MaxConns:            o.MaxConnections,
@@ -100,11 +100,11 @@
 }
 
 // Address returns the address of the server.
-func (p *Poster) Address() netip.AddrPort { return p.address }
+func (p *Requester) Address() netip.AddrPort { return p.address }
 
 // Post sends in as JSON once and returns the answer, whatever its status code. Errors are
 // of type *Error.
-func (p *Poster) Post(ctx context.Context, path string, in any) (Answer, error) {
+func (p *Requester) Post(ctx context.Context, path string, in any) (Answer, error) {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return Answer{}, &Error{Address: p.address, Path: path, Cause: fmt.Errorf("encode request: %w", err)}
@@ -124,7 +124,7 @@
 // exchange sends a request and reads the answer. It reports whether any byte of the request
 // was sent. It uses the client's connections directly instead of HostClient.Do, because Do
 // cannot be canceled and does not report whether the request was written.
-func (p *Poster) exchange(ctx context.Context, path string, body []byte) (Answer, bool, error) {
+func (p *Requester) exchange(ctx context.Context, path string, body []byte) (Answer, bool, error) {
 	if err := ctx.Err(); err != nil {
 		return Answer{}, false, err
 	}
@@ -155,7 +155,7 @@
 	return answerOf(resp), true, nil
 }
 
-func (p *Poster) roundTrip(conn net.Conn, path string, body []byte, resp *fasthttp.Response) error {
+func (p *Requester) roundTrip(conn net.Conn, path string, body []byte, resp *fasthttp.Response) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.SetMethod(fasthttp.MethodPost)
--- a/internal/proprietor/ownership.go
+++ b/internal/proprietor/ownership.go
@@ -407,10 +407,10 @@
 }
 
 // recordPromise records a promise of another host, counted from when the heartbeat was sent.
-func (o *ownedShard) recordPromise(by string, kind messenger.TenureKind, sentAt time.Time) {
+func (o *ownedShard) recordPromise(by string, kind messenger.LeaseKind, sentAt time.Time) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if kind == messenger.TenurePlacing {
+	if kind == messenger.LeasePlacing {
 		o.placingLease.Promised(by, sentAt)
 		return
 	}
--- a/internal/proprietor/proprietor.go
+++ b/internal/proprietor/proprietor.go
@@ -30,7 +30,7 @@
 	FailureDomain string
 	Incarnation   string // identifies this process; unique for each process of the host
 	Store         storer.Store
-	Workers       commander.Workers
+	Workers       commander.WorkerClient
 	Random        *rand.Rand
 	Logger        *slog.Logger
 	// Record is called with every decision record; it may be nil.
@@ -333,7 +333,7 @@
 	for _, o := range p.ownedShards() {
 		cs = append(cs, messenger.ShardClaim{
 			Shard: o.name, Epoch: o.epoch,
-			Kinds: []messenger.TenureKind{messenger.TenurePlacing, messenger.TenureRunning},
+			Kinds: []messenger.LeaseKind{messenger.LeasePlacing, messenger.LeaseRunning},
 		})
 	}
 	return cs
@@ -371,11 +371,11 @@
 
 // successorFor returns the successor state of this host for shards of a failure domain, or
 // nil if this host cannot succeed their owners.
-func (p *Proprietor) successorFor(domain string, k messenger.TenureKind) *keeper.Successor {
+func (p *Proprietor) successorFor(domain string, k messenger.LeaseKind) *keeper.Successor {
 	switch {
-	case k == messenger.TenurePlacing && domain == p.settings.FailureDomain:
+	case k == messenger.LeasePlacing && domain == p.settings.FailureDomain:
 		return p.placingSuccessor
-	case k == messenger.TenureRunning && slices.Contains(predecessors(p.config, p.settings.FailureDomain), domain):
+	case k == messenger.LeaseRunning && slices.Contains(predecessors(p.config, p.settings.FailureDomain), domain):
 		return p.runningSuccessor
 	}
 	return nil
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -188,9 +188,9 @@
 	if err != nil {
 		return swapWrite{}, err
 	}
-	if len(value) > storer.MaxValueSize {
+	if len(value) > storer.MaxValueBytes {
 		return swapWrite{}, &configurator.RefusedError{Reason: configurator.RefusedTooLarge, Generation: c.Generation, Key: s.Key,
-			Detail: fmt.Sprintf("the record has %d bytes, the store holds at most %d", len(value), storer.MaxValueSize)}
+			Detail: fmt.Sprintf("the record has %d bytes, the store holds at most %d", len(value), storer.MaxValueBytes)}
 	}
 	return swapWrite{r, value, b.revision, s, c}, nil
 }
--- a/internal/receiver/answer.go
+++ b/internal/receiver/answer.go
@@ -30,7 +30,7 @@
 		ctx.Response.Header.Set(HeaderOutcome, OutcomeAnswered)
 	case NotRun:
 		status := fasthttp.StatusServiceUnavailable
-		if o.Quota {
+		if o.QuotaExceeded {
 			status = fasthttp.StatusTooManyRequests
 		}
 		if o.RetryAfter > 0 {
--- a/internal/receiver/example_test.go
+++ b/internal/receiver/example_test.go
@@ -18,7 +18,7 @@
 }
 
 func ExampleReceiver() {
-	r, err := receiver.New(receiver.Settings{Handler: refuser{}, Identity: func() string { return "q1" }})
+	r, err := receiver.New(receiver.Settings{Handler: refuser{}, NewRequestID: func() string { return "q1" }})
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/internal/receiver/receiver.go
+++ b/internal/receiver/receiver.go
@@ -45,9 +45,9 @@
 	Ready    func() []string
 	Registry *prometheus.Registry // if nil, New creates one
 	Logger   *slog.Logger         // if nil, nothing is logged
-	// Identity returns the next request identity, which must be unique over all hosts. If
+	// NewRequestID returns the next request identity, which must be unique over all hosts. If
 	// nil, identities consist of a random number of the process and a counter.
-	Identity func() string
+	NewRequestID func() string
 	// Services returns the configured services. If nil, every service is accepted, and
 	// counted as "other" in the metrics.
 	Services func() []string
@@ -78,8 +78,8 @@
 	if s.Logger == nil {
 		s.Logger = slog.New(slog.DiscardHandler)
 	}
-	if s.Identity == nil {
-		s.Identity = newIDSource()
+	if s.NewRequestID == nil {
+		s.NewRequestID = newIDSource()
 	}
 	if s.MaxRequestTimeout <= 0 {
 		s.MaxRequestTimeout = configurator.DefaultMaxRequestTimeout
@@ -180,7 +180,7 @@
 // is refused before that is answered with the outcome not-run.
 func (r *Receiver) serveRequest(ctx *fasthttp.RequestCtx, target string) {
 	started := time.Now()
-	id := r.settings.Identity()
+	id := r.settings.NewRequestID()
 	q, problem := parse(&ctx.Request.Header, target, r.settings.MaxRequestTimeout, started)
 	if problem == nil && r.settings.Services != nil && !contains(r.settings.Services(), q.Service) {
 		problem = &Problem{fasthttp.StatusNotFound, "no-such-service", "service " + strconv.Quote(q.Service) + " is not configured"}
--- a/internal/receiver/receiver_test.go
+++ b/internal/receiver/receiver_test.go
@@ -161,7 +161,7 @@
 		retryAfter string
 	}{
 		{NotRun{Reason: "deadline", RetryAfter: 1100 * time.Millisecond}, 503, OutcomeNotRun, "2"},
-		{NotRun{Reason: "tenant-quota", Quota: true, RetryAfter: time.Second}, 429, OutcomeNotRun, "1"},
+		{NotRun{Reason: "tenant-quota", QuotaExceeded: true, RetryAfter: time.Second}, 429, OutcomeNotRun, "1"},
 		{NotRun{Reason: "no instance"}, 503, OutcomeNotRun, ""},
 		{Unknown{Reason: "closed"}, 504, OutcomeUnknown, ""},
 		{Answered{Status: 503}, 503, OutcomeAnswered, ""},
--- a/internal/receiver/request.go
+++ b/internal/receiver/request.go
@@ -61,9 +61,9 @@
 
 // NotRun reports that the request did not run.
 type NotRun struct {
-	Reason     string
-	Quota      bool          // refused because of the tenant's quota: status 429 instead of 503
-	RetryAfter time.Duration // 0 if unknown
+	Reason        string
+	QuotaExceeded bool          // refused because of the tenant's quota: status 429 instead of 503
+	RetryAfter    time.Duration // 0 if unknown
 }
 
 // Unknown reports that the request may have run.
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -190,7 +190,7 @@
 	}
 	r, err := receiver.New(receiver.Settings{
 		Handler: h.dispatcher, Ready: h.notReady, Registry: h.registry, Logger: h.log,
-		Identity: h.newRequestID, Services: h.serviceNames, Tenants: h.teamNames,
+		NewRequestID: h.newRequestID, Services: h.serviceNames, Tenants: h.teamNames,
 		MaxRequestTimeout: configurator.DefaultMaxRequestTimeout,
 	})
 	if err != nil {
--- a/internal/storer/client.go
+++ b/internal/storer/client.go
@@ -25,9 +25,9 @@
 
 // Client implements Store over HTTP.
 type Client struct {
-	callPoster  *poster.Poster
-	watchPoster *poster.Poster // of its own, so that waiting watches do not block other calls
-	timeout     time.Duration
+	callRequester  *poster.Requester
+	watchRequester *poster.Requester // of its own, so that waiting watches do not block other calls
+	timeout        time.Duration
 }
 
 var _ Store = (*Client)(nil)
@@ -46,8 +46,8 @@
 	watchOptions.Timeout += maxWatchWait
 	c := &Client{timeout: callOptions.Timeout}
 	var closeCalls, closeWatches func()
-	c.callPoster, closeCalls = poster.New(address, callOptions)
-	c.watchPoster, closeWatches = poster.New(address, watchOptions)
+	c.callRequester, closeCalls = poster.New(address, callOptions)
+	c.watchRequester, closeWatches = poster.New(address, watchOptions)
 	return c, func() {
 		closeCalls()
 		closeWatches()
@@ -62,7 +62,7 @@
 		Revision      uint64
 		StoreRevision uint64
 	}
-	err := c.call(ctx, c.callPoster, "/kv/get", struct{ Key string }{key}, &out, "")
+	err := c.call(ctx, c.callRequester, "/kv/get", struct{ Key string }{key}, &out, "")
 	if err != nil {
 		return Entry{}, err
 	}
@@ -75,13 +75,13 @@
 		Entries       []Entry
 		StoreRevision uint64
 	}
-	err := c.call(ctx, c.callPoster, "/kv/list", struct{ Prefix string }{prefix}, &out, "")
+	err := c.call(ctx, c.callRequester, "/kv/list", struct{ Prefix string }{prefix}, &out, "")
 	return out.Entries, out.StoreRevision, err
 }
 
 // CompareAndSwap implements Store.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, expect uint64, value []byte) (bool, uint64, error) {
-	if len(value) > MaxValueSize {
+	if len(value) > MaxValueBytes {
 		return false, 0, &TooLargeError{Key: key, Size: len(value)}
 	}
 	in := struct {
@@ -93,7 +93,7 @@
 		Swapped  bool
 		Revision uint64
 	}
-	err := c.call(ctx, c.callPoster, "/kv/cas", in, &out, key)
+	err := c.call(ctx, c.callRequester, "/kv/cas", in, &out, key)
 	var tooLarge *TooLargeError
 	if errors.As(err, &tooLarge) {
 		tooLarge.Size = len(value)
@@ -108,7 +108,7 @@
 		ExpectRevision uint64
 	}{key, expect}
 	var out struct{ Swapped bool }
-	err := c.call(ctx, c.callPoster, "/kv/delete", in, &out, key)
+	err := c.call(ctx, c.callRequester, "/kv/delete", in, &out, key)
 	return out.Swapped, err
 }
 
@@ -123,21 +123,21 @@
 		Wait          time.Duration
 	}{prefix, after, wait}
 	var out Events
-	err := c.call(ctx, c.watchPoster, "/kv/watch", in, &out, "")
+	err := c.call(ctx, c.watchRequester, "/kv/watch", in, &out, "")
 	return out, err
 }
 
 // Hosts implements Store.
 func (c *Client) Hosts(ctx context.Context) (HostList, error) {
 	var out HostList
-	err := c.call(ctx, c.callPoster, "/hosts/list", struct{}{}, &out, "")
+	err := c.call(ctx, c.callRequester, "/hosts/list", struct{}{}, &out, "")
 	return out, err
 }
 
 // call sends in to path and decodes the answer into out. writtenKey is the key that the call
 // writes, empty for a read. If the answer to a read is lost, the error is an
 // *UnavailableError: a read changes nothing, so its outcome does not matter.
-func (c *Client) call(ctx context.Context, p *poster.Poster, path string, in, out any, writtenKey string) error {
+func (c *Client) call(ctx context.Context, p *poster.Requester, path string, in, out any, writtenKey string) error {
 	a, err := p.Post(ctx, path, in)
 	if err != nil {
 		var pe *poster.Error
@@ -168,7 +168,7 @@
 
 // ambiguousAnswer returns the error for an answer that does not say whether the call took
 // effect.
-func (c *Client) ambiguousAnswer(p *poster.Poster, writtenKey, reason string) error {
+func (c *Client) ambiguousAnswer(p *poster.Requester, writtenKey, reason string) error {
 	if writtenKey != "" {
 		return &UnknownOutcomeError{Key: writtenKey, Reason: reason}
 	}
--- a/internal/storer/database.go
+++ b/internal/storer/database.go
@@ -39,10 +39,10 @@
 	return 0
 }
 
-// Database is a key-value store with transactions. Its reads are linearizable. Errors are of
+// TransactionalStore is a key-value store with transactions. Its reads are linearizable. Errors are of
 // type *UnavailableError, *UnknownOutcomeError, *RateLimitedError or, from Commit,
 // *ConflictError.
-type Database interface {
+type TransactionalStore interface {
 	// Get returns an entry with Revision 0 if the key does not exist.
 	Get(ctx context.Context, key string) (Entry, error)
 	// List returns the entries whose keys start with prefix, and the store's revision
--- a/internal/storer/store.go
+++ b/internal/storer/store.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// MaxValueSize is the maximum size of a value in the store, in bytes.
-const MaxValueSize = 1 << 20
+// MaxValueBytes is the maximum size of a value in the store, in bytes.
+const MaxValueBytes = 1 << 20
 
 // Entry is one key and its value in the store. Revision 0 means that the key does not exist.
 type Entry struct {
@@ -108,5 +108,5 @@
 }
 
 func (e *TooLargeError) Error() string {
-	return fmt.Sprintf("value of %q has %d bytes, the store holds at most %d", e.Key, e.Size, MaxValueSize)
+	return fmt.Sprintf("value of %q has %d bytes, the store holds at most %d", e.Key, e.Size, MaxValueBytes)
 }
--- a/internal/surveyor/estimate.go
+++ b/internal/surveyor/estimate.go
@@ -17,7 +17,7 @@
 	maxHeapBytes           = 256_000_000
 	maxBytesPerSecond      = 23_000
 	maxStoreReadsPerSecond = 2000
-	maxStoreValueBytes     = storer.MaxValueSize
+	maxStoreValueBytes     = storer.MaxValueBytes
 	// maxStoreWritesPerSecond is the low end of the design's "several hundred" writes per second.
 	maxStoreWritesPerSecond = 300
 )
--- a/internal/surveyor/inputs.go
+++ b/internal/surveyor/inputs.go
@@ -207,7 +207,7 @@
 func heartbeat(shards, instances, notices int) messenger.Heartbeat {
 	m := messenger.Heartbeat{Identity: identity(notices)}
 	for i := range shards {
-		m.Claims = append(m.Claims, messenger.ShardClaim{Shard: fmt.Sprintf("%s/%d", firstDomain, i), Epoch: 12, Kinds: []messenger.TenureKind{messenger.TenurePlacing, messenger.TenureRunning}})
+		m.Claims = append(m.Claims, messenger.ShardClaim{Shard: fmt.Sprintf("%s/%d", firstDomain, i), Epoch: 12, Kinds: []messenger.LeaseKind{messenger.LeasePlacing, messenger.LeaseRunning}})
 	}
 	for i := range instances {
 		m.Demand = append(m.Demand, messenger.SlotDemand{Instance: instanceName(i, 20), InUse: 2, Wanted: 3})
--- a/pkg/composer/size_test.go
+++ b/pkg/composer/size_test.go
@@ -46,7 +46,7 @@
 	value, err := json.Marshal(configurator.Record{Text: string(text), Signature: make([]byte, 64)})
 	is.NoErr(err)
 	t.Logf("text: %d bytes, record: %d bytes", len(text), len(value))
-	is.True(len(value) < storer.MaxValueSize/2)
+	is.True(len(value) < storer.MaxValueBytes/2)
 }
 
 func BenchmarkText(b *testing.B) {
