--- a/internal/administrator/backend.go
+++ b/internal/administrator/backend.go
@@ -113,7 +113,7 @@
 
 // Backend executes the requests of operators. Package server implements it.
 type Backend interface {
-	ApplyConfiguration(ctx context.Context, s publisher.Submission) (publisher.Applied, error)
+	ApplyConfiguration(ctx context.Context, s publisher.Submission) (publisher.ApplyResult, error)
 	ShowConfiguration(ctx context.Context) (ConfigurationView, error)
 	ConfigurationHistory(ctx context.Context, limit int) ([]configurator.Record, error)
 	SubmitJob(ctx context.Context, spec scheduler.JobSpec) (scheduler.JobStatus, error)
--- a/internal/administrator/client.go
+++ b/internal/administrator/client.go
@@ -55,8 +55,8 @@
 }
 
 // ApplyConfiguration submits a configuration.
-func (c *Client) ApplyConfiguration(ctx context.Context, s publisher.Submission) (publisher.Applied, error) {
-	return call[publisher.Applied](ctx, c, fasthttp.MethodPost, "config/apply", nil, s)
+func (c *Client) ApplyConfiguration(ctx context.Context, s publisher.Submission) (publisher.ApplyResult, error) {
+	return call[publisher.ApplyResult](ctx, c, fasthttp.MethodPost, "config/apply", nil, s)
 }
 
 // ShowConfiguration returns the configuration in effect.
--- a/internal/administrator/server.go
+++ b/internal/administrator/server.go
@@ -214,7 +214,7 @@
 }
 
 func configurationHistory(ctx context.Context, b Backend, req *fasthttp.RequestCtx) (any, error) {
-	limit, err := limitParameter(req, defaultHistoryLimit, publisher.HistoryLimit)
+	limit, err := limitParameter(req, defaultHistoryLimit, publisher.MaxHistoryRecords)
 	if err != nil {
 		return nil, err
 	}
@@ -276,7 +276,7 @@
 	var refused *configurator.RefusedError
 	var lostRace *publisher.LostRaceError
 	var notApplied *publisher.NotAppliedError
-	var unknownSubmission *publisher.UnknownError
+	var unknownSubmission *publisher.UnknownOutcomeError
 	var unavailable *storer.UnavailableError
 	var rateLimited *storer.RateLimitedError
 	var unknownOutcome *storer.UnknownOutcomeError
--- a/internal/administrator/server_test.go
+++ b/internal/administrator/server_test.go
@@ -31,8 +31,8 @@
 	return b.err
 }
 
-func (b *fakeBackend) ApplyConfiguration(_ context.Context, s publisher.Submission) (publisher.Applied, error) {
-	return publisher.Applied{Diff: "d"}, b.call("apply %s %s %s %d %s", s.Text, s.Signature, s.Key, s.Replaces, s.AppliedBy)
+func (b *fakeBackend) ApplyConfiguration(_ context.Context, s publisher.Submission) (publisher.ApplyResult, error) {
+	return publisher.ApplyResult{Diff: "d"}, b.call("apply %s %s %s %d %s", s.Text, s.Signature, s.Key, s.Replaces, s.AppliedBy)
 }
 func (b *fakeBackend) ShowConfiguration(context.Context) (ConfigurationView, error) {
 	return ConfigurationView{Host: "h"}, b.call("show")
@@ -140,7 +140,7 @@
 		{&configurator.RefusedError{Reason: configurator.RefusedInvalid, Invalid: &configurator.InvalidError{Faults: faults}}, CodeRefused},
 		{&publisher.LostRaceError{AppliedBy: "ben", Diff: "d"}, CodeLostRace},
 		{&publisher.NotAppliedError{Cause: context.DeadlineExceeded}, CodeUnavailable},
-		{&publisher.UnknownError{Cause: &storer.UnavailableError{}}, CodeUnknownOutcome},
+		{&publisher.UnknownOutcomeError{Cause: &storer.UnavailableError{}}, CodeUnknownOutcome},
 		{&storer.UnavailableError{}, CodeUnavailable},
 		{&storer.UnknownOutcomeError{}, CodeUnknownOutcome},
 		{context.DeadlineExceeded, CodeUnknownOutcome},
--- a/internal/commandline/config.go
+++ b/internal/commandline/config.go
@@ -218,7 +218,7 @@
 
 func showHistory(fs *flag.FlagSet) func(*call) error {
 	limit := 20
-	countFlag(fs, &limit, publisher.HistoryLimit, "configurations")
+	countFlag(fs, &limit, publisher.MaxHistoryRecords, "configurations")
 	return func(c *call) error {
 		rs, err := c.client.ConfigurationHistory(c.ctx, limit)
 		if err != nil {
--- a/internal/commandline/run_test.go
+++ b/internal/commandline/run_test.go
@@ -156,7 +156,7 @@
 	return true, expect + 1, nil
 }
 
-func (b *backend) ApplyConfiguration(ctx context.Context, s publisher.Submission) (publisher.Applied, error) {
+func (b *backend) ApplyConfiguration(ctx context.Context, s publisher.Submission) (publisher.ApplyResult, error) {
 	return b.publisher.Apply(ctx, s)
 }
 func (b *backend) ShowConfiguration(ctx context.Context) (administrator.ConfigurationView, error) {
--- a/internal/configurator/text.go
+++ b/internal/configurator/text.go
@@ -10,9 +10,9 @@
 	"gopkg.in/ini.v1"
 )
 
-// MaxTextSize is the maximum size of a text in bytes. A Record with such a text, encoded as
+// MaxTextBytes is the maximum size of a text in bytes. A Record with such a text, encoded as
 // JSON, stays below the store's limit of 1 MB for a value.
-const MaxTextSize = 640 << 10
+const MaxTextBytes = 640 << 10
 
 // maxNameBytes is the maximum length of a name, also of one that a key holds.
 const maxNameBytes = 64
@@ -60,8 +60,8 @@
 // ReadSections splits a text in the project's INI format into sections. It reports
 // malformed lines and duplicate sections and keys.
 func ReadSections(text []byte) ([]Section, []Fault) {
-	if len(text) > MaxTextSize {
-		return nil, []Fault{{Problem: fmt.Sprintf("text has %d bytes", len(text)), Allowed: fmt.Sprintf("at most %d bytes", MaxTextSize)}}
+	if len(text) > MaxTextBytes {
+		return nil, []Fault{{Problem: fmt.Sprintf("text has %d bytes", len(text)), Allowed: fmt.Sprintf("at most %d bytes", MaxTextBytes)}}
 	}
 	r := reader{sections: map[string]int{}}
 	for i, l := range strings.Split(string(text), "\n") {
--- a/internal/publisher/fake_test.go
+++ b/internal/publisher/fake_test.go
@@ -232,7 +232,7 @@
 	t.Helper()
 	h := &host{}
 	h.Follower = NewFollower(FollowerOptions{Store: s, Keys: keys, Peers: func() []Peer { return peers },
-		Adopted: func(r configurator.Record, _ *configurator.Configuration) {
+		OnAdopted: func(r configurator.Record, _ *configurator.Configuration) {
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			h.adopted = append(h.adopted, r.Generation)
--- a/internal/publisher/follower.go
+++ b/internal/publisher/follower.go
@@ -64,11 +64,11 @@
 	// Peers returns the other entry hosts that the settings file and the configuration
 	// list. It is called without locks held.
 	Peers func() []Peer
-	// Adopted is called with each adopted configuration, one call at a time, in
+	// OnAdopted is called with each adopted configuration, one call at a time, in
 	// increasing order of generation. Current already returns the configuration.
-	Adopted func(configurator.Record, *configurator.Configuration)
-	Log     *slog.Logger
-	Random  *rand.Rand // must not be shared: it is not safe for concurrent use
+	OnAdopted func(configurator.Record, *configurator.Configuration)
+	Log       *slog.Logger
+	Random    *rand.Rand // must not be shared: it is not safe for concurrent use
 }
 
 // Follower keeps this entry host's configuration up to date. It is safe for concurrent
@@ -113,9 +113,9 @@
 	return f.record, f.parsed
 }
 
-// Seen records the generation in a heartbeat from the named peer, and starts a fetch if
+// RecordGeneration records the generation in a heartbeat from the named peer, and starts a fetch if
 // it is higher than the adopted one. It does not block.
-func (f *Follower) Seen(peer string, generation uint64) {
+func (f *Follower) RecordGeneration(peer string, generation uint64) {
 	f.stateMu.Lock()
 	higher := generation > f.record.Generation
 	if higher {
@@ -279,7 +279,7 @@
 	f.stateMu.Unlock()
 	f.options.Log.Info("configuration adopted", "Generation", r.Generation, "Source", source,
 		"AppliedBy", r.AppliedBy, "Key", r.Key)
-	f.options.Adopted(r, c)
+	f.options.OnAdopted(r, c)
 }
 
 func isStale(err error) bool {
--- a/internal/publisher/follower_test.go
+++ b/internal/publisher/follower_test.go
@@ -103,9 +103,9 @@
 		h := startHost(ctx, t, s, 1, Peer{Name: "slow", Fetcher: slow}, Peer{Name: "good", Fetcher: good})
 		time.Sleep(time.Second)
 		s.set(func(s *fakeStore) { s.unavailable = true })
-		h.Seen("slow", 2)
-		h.Seen("unlisted", 2) // not among the peers
-		h.Seen("good", 2)
+		h.RecordGeneration("slow", 2)
+		h.RecordGeneration("unlisted", 2) // not among the peers
+		h.RecordGeneration("good", 2)
 		time.Sleep(inEffectBound)
 		is.Equal(h.generations(), []uint64{1, 2})
 	})
@@ -126,7 +126,7 @@
 		peer := &fakePeer{record: record(1, "first")}
 		h := startHost(ctx, t, s, 1, Peer{Name: "peer", SameFailureDomain: true, Fetcher: peer})
 		time.Sleep(time.Second)
-		h.Seen("peer", 9) // higher than the generation that the peer answers with
+		h.RecordGeneration("peer", 9) // higher than the generation that the peer answers with
 		e, err := s.Get(ctx, CurrentKey)
 		is.NoErr(err)
 		_, _, err = s.CompareAndSwap(ctx, CurrentKey, e.Revision, old.Value)
@@ -159,9 +159,9 @@
 				h := startHost(ctx, t, s, 1, Peer{"stale", true, stale}, Peer{"forged", true, forged}, Peer{"fresh", true, c.fresh},
 					Peer{"elsewhere", false, &fakePeer{record: record(8, "elsewhere")}})
 				for range 20 {
-					h.Seen("stale", 5)
+					h.RecordGeneration("stale", 5)
 					if c.want[0] == 8 {
-						h.Seen("elsewhere", 8)
+						h.RecordGeneration("elsewhere", 8)
 					}
 					time.Sleep(c.after / 20)
 				}
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -13,8 +13,8 @@
 	"peridotpitch/internal/storer"
 )
 
-// HistoryLimit is the number of history records that are kept.
-const HistoryLimit = 500
+// MaxHistoryRecords is the number of history records that are kept.
+const MaxHistoryRecords = 500
 
 // HistoryRecordsWithText is the number of newest records that History returns with their
 // text. The texts of all records together can exceed 100 MB.
@@ -40,8 +40,8 @@
 	AppliedBy string // operator, as shown to other operators
 }
 
-// Applied is the result of a submission that is in effect.
-type Applied struct {
+// ApplyResult is the result of a submission that is in effect.
+type ApplyResult struct {
 	Record configurator.Record
 	// AlreadyInEffect is set if the same signed text had been applied before.
 	AlreadyInEffect bool
@@ -63,19 +63,19 @@
 		e.Generation, e.AppliedBy, e.Key, e.AppliedAt.UTC().Format(time.RFC3339))
 }
 
-// UnknownError reports that the submission may or may not have taken effect.
-type UnknownError struct {
+// UnknownOutcomeError reports that the submission may or may not have taken effect.
+type UnknownOutcomeError struct {
 	Generation uint64
 	Cause      error
 }
 
-func (e *UnknownError) Error() string {
+func (e *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("it is unknown whether generation %d took effect; applying the same text again is safe: %v",
 		e.Generation, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *UnknownError) Unwrap() error { return e.Cause }
+func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
 // NotAppliedError reports that the submission did not take effect because a call to
 // the store failed or the store holds a value that is not a valid record.
@@ -106,44 +106,44 @@
 // Apply makes s the configuration in effect. Its errors are *configurator.RefusedError,
 // *LostRaceError and *NotAppliedError, which leave the configuration unchanged, and
 // *UnknownError.
-func (p *Publisher) Apply(ctx context.Context, s Submission) (Applied, error) {
+func (p *Publisher) Apply(ctx context.Context, s Submission) (ApplyResult, error) {
 	c, err := configurator.VerifyText([]byte(s.Text), s.Signature, s.Key, p.keys)
 	if err != nil {
-		return Applied{}, err
+		return ApplyResult{}, err
 	}
 	if s.Replaces != c.Replaces {
-		return Applied{}, &configurator.RefusedError{Reason: configurator.RefusedStale, Generation: c.Generation, Key: s.Key,
+		return ApplyResult{}, &configurator.RefusedError{Reason: configurator.RefusedStale, Generation: c.Generation, Key: s.Key,
 			Detail: fmt.Sprintf("the submission replaces generation %d, its text %d", s.Replaces, c.Replaces)}
 	}
 	before, err := readCurrent(ctx, p.store, p.keys)
 	if err != nil {
-		return Applied{}, &NotAppliedError{err}
+		return ApplyResult{}, &NotAppliedError{err}
 	}
 	if done, err := checkReplaces(before, s, c); err != nil {
-		return Applied{}, err
+		return ApplyResult{}, err
 	} else if done {
-		return Applied{Record: before.record, AlreadyInEffect: true}, nil
+		return ApplyResult{Record: before.record, AlreadyInEffect: true}, nil
 	}
 	w, err := p.newWrite(before, s, c)
 	if err != nil {
-		return Applied{}, err
+		return ApplyResult{}, err
 	}
 	// The replaced record is written to the history first. A generation older than the
 	// current one without a history record was therefore never in effect, even if its
 	// writer crashed right after the swap.
 	if err := p.writeHistory(ctx, before.record.Generation, before.value); err != nil {
-		return Applied{}, &NotAppliedError{err}
+		return ApplyResult{}, &NotAppliedError{err}
 	}
 	var already *alreadyInEffectError
 	if err := p.swap(ctx, w); errors.As(err, &already) {
-		return Applied{Record: already.record, AlreadyInEffect: true}, nil
+		return ApplyResult{Record: already.record, AlreadyInEffect: true}, nil
 	} else if err != nil {
-		return Applied{}, err
+		return ApplyResult{}, err
 	}
 	// If these calls fail, the next application repeats them.
 	_ = p.writeHistory(ctx, w.record.Generation, w.value)
 	p.prune(ctx, w.record.Generation)
-	return Applied{Record: w.record, Diff: configurator.Diff(before.parsed, c)}, nil
+	return ApplyResult{Record: w.record, Diff: configurator.Diff(before.parsed, c)}, nil
 }
 
 // alreadyInEffectError reports that another host applied the same signed text in the
@@ -263,7 +263,7 @@
 			return p.swapRefused(ctx, w)
 		}
 	}
-	return &UnknownError{Generation: w.record.Generation, Cause: cause}
+	return &UnknownOutcomeError{Generation: w.record.Generation, Cause: cause}
 }
 
 // inHistory reports whether the history holds w.
@@ -303,10 +303,10 @@
 // prune deletes history records beyond HistoryLimit. It stops at the first failed read.
 func (p *Publisher) prune(ctx context.Context, generation uint64) {
 	for i := range uint64(pruneGenerations) {
-		if generation <= HistoryLimit+i {
+		if generation <= MaxHistoryRecords+i {
 			return
 		}
-		key := historyKey(generation - HistoryLimit - i)
+		key := historyKey(generation - MaxHistoryRecords - i)
 		e, err := p.get(ctx, key)
 		if err != nil {
 			return
@@ -329,7 +329,7 @@
 	if b.revision != 0 {
 		rs = append(rs, b.record)
 	}
-	for g := b.record.Generation; g > 1 && len(rs) < min(limit, HistoryLimit); g-- {
+	for g := b.record.Generation; g > 1 && len(rs) < min(limit, MaxHistoryRecords); g-- {
 		r, err := p.readHistory(ctx, g-1)
 		var corrupt *CorruptError
 		if errors.As(err, &corrupt) {
--- a/internal/publisher/publisher_test.go
+++ b/internal/publisher/publisher_test.go
@@ -132,7 +132,7 @@
 			s := newFakeStore()
 			s.loseAnswer = func(string) answerLoss { s.unavailable = true; return lostAfterWrite }
 			_, err := NewPublisher(s, keys, "writer", time.Now).Apply(ctx, submission(1, "first"))
-			var unknown *UnknownError
+			var unknown *UnknownOutcomeError
 			is.True(errors.As(err, &unknown))
 		})
 	})
@@ -144,17 +144,17 @@
 	simulate(t, func(ctx context.Context, is *is.I) {
 		s := newFakeStore()
 		p := NewPublisher(s, keys, "writer", time.Now)
-		for g := uint64(1); g <= HistoryLimit+20; g++ {
+		for g := uint64(1); g <= MaxHistoryRecords+20; g++ {
 			s.set(func(s *fakeStore) { s.unavailable = false })
 			_, err := p.Apply(ctx, submission(g, "firm"))
 			is.NoErr(err)
 		}
-		is.Equal(len(s.entries), HistoryLimit+1) // the history and config/current
-		rs, err := p.History(ctx, HistoryLimit)
+		is.Equal(len(s.entries), MaxHistoryRecords+1) // the history and config/current
+		rs, err := p.History(ctx, MaxHistoryRecords)
 		is.NoErr(err)
-		is.Equal(len(rs), HistoryLimit)
+		is.Equal(len(rs), MaxHistoryRecords)
 		for i, r := range rs {
-			is.Equal(r.Generation, uint64(HistoryLimit+20-i))
+			is.Equal(r.Generation, uint64(MaxHistoryRecords+20-i))
 			is.Equal(r.Text != "", i < HistoryRecordsWithText)
 		}
 	})
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -16,32 +16,32 @@
 
 // Kinds of decisions.
 const (
-	KindPlace      Kind = "place"
-	KindWait       Kind = "wait"
-	KindNever      Kind = "never"
-	KindPreempt    Kind = "preempt"
-	KindEvict      Kind = "evict"
-	KindThrottle   Kind = "throttle"
-	KindRelease    Kind = "release"
-	KindMove       Kind = "move"
-	KindStop       Kind = "stop"
-	KindRefuse     Kind = "refuse"
-	KindRetry      Kind = "retry"
-	KindRoute      Kind = "route"
-	KindClaim      Kind = "claim"
-	KindAdopt      Kind = "adopt"
-	KindQuarantine Kind = "quarantine"
-	KindProbe      Kind = "probe"
-	KindReturn     Kind = "return"
-	KindDrain      Kind = "drain"
-	KindCancel     Kind = "cancel"
-	KindEject      Kind = "eject"
-	KindForward    Kind = "forward"
+	KindPlace         Kind = "place"
+	KindWait          Kind = "wait"
+	KindUnschedulable Kind = "never"
+	KindPreempt       Kind = "preempt"
+	KindEvict         Kind = "evict"
+	KindThrottle      Kind = "throttle"
+	KindRelease       Kind = "release"
+	KindMove          Kind = "move"
+	KindStop          Kind = "stop"
+	KindRefuse        Kind = "refuse"
+	KindRetry         Kind = "retry"
+	KindRoute         Kind = "route"
+	KindClaim         Kind = "claim"
+	KindAdopt         Kind = "adopt"
+	KindQuarantine    Kind = "quarantine"
+	KindProbe         Kind = "probe"
+	KindReturn        Kind = "return"
+	KindDrain         Kind = "drain"
+	KindCancel        Kind = "cancel"
+	KindEject         Kind = "eject"
+	KindForward       Kind = "forward"
 )
 
 // knownKinds lists the values of the counter's kind label.
 var knownKinds = map[Kind]bool{
-	KindPlace: true, KindWait: true, KindNever: true, KindPreempt: true, KindEvict: true,
+	KindPlace: true, KindWait: true, KindUnschedulable: true, KindPreempt: true, KindEvict: true,
 	KindThrottle: true, KindRelease: true, KindMove: true, KindStop: true, KindRefuse: true,
 	KindRetry: true, KindRoute: true, KindClaim: true, KindAdopt: true, KindQuarantine: true,
 	KindProbe: true, KindReturn: true, KindDrain: true, KindCancel: true, KindEject: true, KindForward: true,
--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -92,7 +92,7 @@
 	is := is.New(t)
 	var out bytes.Buffer
 	r, _, _ := newRecorder(t, Options{}, &out)
-	d := Record{Time: time.Unix(0, 0), Kind: KindNever, Job: "a\nKind=place", Rule: "LargerThanAnyWorker", Generation: 4, SignedBy: "rosa", Candidates: []Candidate{{Name: "w1", Figures: []Figure{{"FreeCores", 1.5}}, Age: time.Second, Rejected: "no room"}}}
+	d := Record{Time: time.Unix(0, 0), Kind: KindUnschedulable, Job: "a\nKind=place", Rule: "LargerThanAnyWorker", Generation: 4, SignedBy: "rosa", Candidates: []Candidate{{Name: "w1", Figures: []Figure{{"FreeCores", 1.5}}, Age: time.Second, Rejected: "no room"}}}
 	r.Add(d)
 	is.Equal(strings.Count(out.String(), "\n"), 1)
 	is.True(strings.Contains(out.String(), `Job="a\nKind=place" Rule=LargerThanAnyWorker`))
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -17,10 +17,10 @@
 	// HeartbeatTimeout is the time without a heartbeat after which an entry host counts as
 	// down: three heartbeat intervals of 500 ms.
 	HeartbeatTimeout = 1500 * time.Millisecond
-	// ListSettleTime is how long the platform's host list must report a leaving host as live
+	// LiveConfirmationTime is how long the platform's host list must report a leaving host as live
 	// without interruption before it counts as live again. The list lags and may flap; a host
 	// that counted as live too early would get new work while it is leaving.
-	ListSettleTime = 60 * time.Second
+	LiveConfirmationTime = 60 * time.Second
 	// maxNotices limits the number of stored notices to about twice the number of hosts
 	// expected in two years.
 	maxNotices = 4096
@@ -64,10 +64,10 @@
 	}
 }
 
-// Heard records the identity of the sender of a heartbeat or of an answer to one, with its
+// RecordIdentity records the identity of the sender of a heartbeat or of an answer to one, with its
 // notices about leaving hosts. It returns the hosts that count as leaving now and did not
 // before.
-func (r *Registrar) Heard(m messenger.Identity, now time.Time) []string {
+func (r *Registrar) RecordIdentity(m messenger.Identity, now time.Time) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	previous, known := r.peers[m.Host]
@@ -93,9 +93,9 @@
 	return added
 }
 
-// PlatformList records the platform's host list. It returns the hosts that count as leaving now
+// RecordHostList records the platform's host list. It returns the hosts that count as leaving now
 // and did not before.
-func (r *Registrar) PlatformList(l storer.HostList, now time.Time) []string {
+func (r *Registrar) RecordHostList(l storer.HostList, now time.Time) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var added []string
@@ -126,15 +126,15 @@
 		r.liveSince[host] = now
 		return
 	}
-	if now.Sub(since) >= ListSettleTime {
+	if now.Sub(since) >= LiveConfirmationTime {
 		delete(r.liveSince, host)
 		r.setNotice(host, messenger.SourcePlatform, false)
 	}
 }
 
-// Mark records that an operator or the host itself declares a host leaving or no longer
+// SetLeaving records that an operator or the host itself declares a host leaving or no longer
 // leaving. It reports whether the host's state changed.
-func (r *Registrar) Mark(host string, source messenger.NoticeSource, leaving bool) bool {
+func (r *Registrar) SetLeaving(host string, source messenger.NoticeSource, leaving bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	was := r.isLeaving(host)
@@ -294,9 +294,9 @@
 	return ok && now.Sub(p.lastHeartbeat) < HeartbeatTimeout
 }
 
-// LeftBehind returns how much longer requests of an earlier process of the host may run,
+// RemainingRequestTime returns how much longer requests of an earlier process of the host may run,
 // provided that each ends within limit after the last heartbeat of that process.
-func (r *Registrar) LeftBehind(host string, limit time.Duration, now time.Time) time.Duration {
+func (r *Registrar) RemainingRequestTime(host string, limit time.Duration, now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.peers[host]
@@ -309,8 +309,8 @@
 // Peer is the state of another entry host, from its last heartbeat.
 type Peer struct {
 	messenger.Identity
-	HeardAt time.Time
-	Alive   bool
+	LastHeartbeat time.Time
+	Alive         bool
 }
 
 // Peers returns all entry hosts that have sent a heartbeat, sorted by name.
@@ -319,7 +319,7 @@
 	defer r.mu.Unlock()
 	peers := make([]Peer, 0, len(r.peers))
 	for _, p := range r.peers {
-		peers = append(peers, Peer{Identity: p.identity, HeardAt: p.lastHeartbeat, Alive: now.Sub(p.lastHeartbeat) < HeartbeatTimeout})
+		peers = append(peers, Peer{Identity: p.identity, LastHeartbeat: p.lastHeartbeat, Alive: now.Sub(p.lastHeartbeat) < HeartbeatTimeout})
 	}
 	slices.SortFunc(peers, func(a, b Peer) int { return cmp.Compare(a.Host, b.Host) })
 	return peers
--- a/internal/registrar/registrar_test.go
+++ b/internal/registrar/registrar_test.go
@@ -21,18 +21,18 @@
 func TestHostStaysLeavingWhileListFlaps(t *testing.T) {
 	is := is.New(t)
 	r, now := New(), time.Unix(0, 0)
-	is.Equal(r.PlatformList(hostList("w1", storer.HostLeaving), now), []string{"w1"})
+	is.Equal(r.RecordHostList(hostList("w1", storer.HostLeaving), now), []string{"w1"})
 	for range 10 {
-		r.PlatformList(hostList("w1", storer.HostLive), now)
+		r.RecordHostList(hostList("w1", storer.HostLive), now)
 		now = now.Add(30 * time.Second)
-		r.PlatformList(hostList("w1", storer.HostLive), now)
+		r.RecordHostList(hostList("w1", storer.HostLive), now)
 		is.True(r.Leaving("w1"))
 		now = now.Add(time.Second)
-		r.PlatformList(hostList("w1", storer.HostLeaving), now)
+		r.RecordHostList(hostList("w1", storer.HostLeaving), now)
 		is.True(r.Leaving("w1"))
 	}
-	r.PlatformList(hostList("w1", storer.HostLive), now)
-	r.PlatformList(hostList("w1", storer.HostLive), now.Add(ListSettleTime))
+	r.RecordHostList(hostList("w1", storer.HostLive), now)
+	r.RecordHostList(hostList("w1", storer.HostLive), now.Add(LiveConfirmationTime))
 	is.True(!r.Leaving("w1")) // live without interruption for ListSettleTime
 }
 
@@ -41,9 +41,9 @@
 func TestPeerWithOlderListDoesNotWithdrawNotice(t *testing.T) {
 	is := is.New(t)
 	r, now := New(), time.Unix(0, 0)
-	r.PlatformList(hostList("w1", storer.HostLeaving), now)
+	r.RecordHostList(hostList("w1", storer.HostLeaving), now)
 	withdrawn := messenger.HostNotice{Host: "w1", Source: messenger.SourcePlatform, Version: 9}
-	r.Heard(messenger.Identity{Host: "e2", Notices: []messenger.HostNotice{withdrawn}}, now)
+	r.RecordIdentity(messenger.Identity{Host: "e2", Notices: []messenger.HostNotice{withdrawn}}, now)
 	is.True(r.Leaving("w1"))
 	is.Equal(r.Notices()[0].Version, uint64(10)) // prevails over the peer's withdrawal on all hosts
 }
@@ -53,11 +53,11 @@
 func TestNoticeSourcesAreIndependent(t *testing.T) {
 	is := is.New(t)
 	r, now := New(), time.Unix(0, 0)
-	is.True(r.Mark("w1", messenger.SourceOperator, true))
-	r.PlatformList(hostList("w1", storer.HostLive), now)
-	r.PlatformList(hostList("w1", storer.HostLive), now.Add(2*ListSettleTime))
+	is.True(r.SetLeaving("w1", messenger.SourceOperator, true))
+	r.RecordHostList(hostList("w1", storer.HostLive), now)
+	r.RecordHostList(hostList("w1", storer.HostLive), now.Add(2*LiveConfirmationTime))
 	is.True(r.Leaving("w1"))
-	is.True(r.Mark("w1", messenger.SourceOperator, false))
+	is.True(r.SetLeaving("w1", messenger.SourceOperator, false))
 	is.True(!r.Leaving("w1"))
 }
 
@@ -66,9 +66,9 @@
 func TestRestartWithdrawsOwnNotice(t *testing.T) {
 	is := is.New(t)
 	r, now := New(), time.Unix(0, 0)
-	r.Heard(messenger.Identity{Host: "e1", Incarnation: "a", Leaving: true}, now)
+	r.RecordIdentity(messenger.Identity{Host: "e1", Incarnation: "a", Leaving: true}, now)
 	is.True(r.Leaving("e1"))
-	r.Heard(messenger.Identity{Host: "e1", Incarnation: "b"}, now)
+	r.RecordIdentity(messenger.Identity{Host: "e1", Incarnation: "b"}, now)
 	is.True(!r.Leaving("e1"))
 	is.True(r.Alive("e1", now.Add(HeartbeatTimeout-1)))
 	is.True(!r.Alive("e1", now.Add(HeartbeatTimeout)))
@@ -91,19 +91,19 @@
 			if rapid.Bool().Draw(t, "mark") {
 				w := fmt.Sprint("w", rapid.IntRange(0, 2).Draw(t, "worker"))
 				leaving := rapid.Bool().Draw(t, "leaving")
-				hosts[i].Mark(w, messenger.SourceOperator, leaving)
+				hosts[i].SetLeaving(w, messenger.SourceOperator, leaving)
 				if hosts[i].Leaving(w) != leaving {
 					t.Fatalf("mark %v of %s did not take effect on the host that received it", leaving, w)
 				}
 				continue
 			}
 			to := rapid.IntRange(0, 2).Draw(t, "to")
-			hosts[to].Heard(identity(i, to), now)
+			hosts[to].RecordIdentity(identity(i, to), now)
 		}
 		for range 4 {
 			for i := range hosts {
 				for j := range hosts {
-					hosts[j].Heard(identity(i, j), now)
+					hosts[j].RecordIdentity(identity(i, j), now)
 				}
 			}
 		}
@@ -122,15 +122,15 @@
 	a, b, now := New(), New(), time.Unix(0, 0)
 	for i := range 3 * maxWithdrawnNotices {
 		w := fmt.Sprint("w", i)
-		a.Mark(w, messenger.SourceOperator, true)
-		b.Heard(messenger.Identity{Host: "a", Notices: a.Notices()}, now)
-		a.Mark(w, messenger.SourceOperator, false)
-		b.Heard(messenger.Identity{Host: "a", Notices: a.Notices()}, now)
+		a.SetLeaving(w, messenger.SourceOperator, true)
+		b.RecordIdentity(messenger.Identity{Host: "a", Notices: a.Notices()}, now)
+		a.SetLeaving(w, messenger.SourceOperator, false)
+		b.RecordIdentity(messenger.Identity{Host: "a", Notices: a.Notices()}, now)
 		is.True(!b.Leaving(w))
 	}
 	is.Equal(len(a.Notices()), maxWithdrawnNotices)
 	digest, _ := a.Exchange("b")
-	b.Heard(messenger.Identity{Host: "a", NoticeDigest: digest}, now)
+	b.RecordIdentity(messenger.Identity{Host: "a", NoticeDigest: digest}, now)
 	_, notices := b.Exchange("a")
 	is.Equal(len(notices), 0) // equal digests: no notices are sent
 }
@@ -140,14 +140,14 @@
 func TestLeftBehindAfterRestart(t *testing.T) {
 	is := is.New(t)
 	r, now := New(), time.Unix(0, 0)
-	r.Heard(messenger.Identity{Host: "e1", Incarnation: "a"}, now)
-	is.Equal(r.LeftBehind("e1", time.Minute, now), time.Duration(0))
+	r.RecordIdentity(messenger.Identity{Host: "e1", Incarnation: "a"}, now)
+	is.Equal(r.RemainingRequestTime("e1", time.Minute, now), time.Duration(0))
 	now = now.Add(10 * time.Second)
-	r.Heard(messenger.Identity{Host: "e1", Incarnation: "b"}, now)
-	is.Equal(r.LeftBehind("e1", time.Minute, now), 50*time.Second)
+	r.RecordIdentity(messenger.Identity{Host: "e1", Incarnation: "b"}, now)
+	is.Equal(r.RemainingRequestTime("e1", time.Minute, now), 50*time.Second)
 	now = now.Add(time.Second)
-	r.Heard(messenger.Identity{Host: "e1", Incarnation: "b", Drained: true}, now)
-	r.Heard(messenger.Identity{Host: "e1", Incarnation: "c"}, now)
-	is.Equal(r.LeftBehind("e1", time.Minute, now), 49*time.Second) // process b drained, process a did not
-	is.Equal(r.LeftBehind("e1", time.Minute, now.Add(time.Minute)), time.Duration(0))
+	r.RecordIdentity(messenger.Identity{Host: "e1", Incarnation: "b", Drained: true}, now)
+	r.RecordIdentity(messenger.Identity{Host: "e1", Incarnation: "c"}, now)
+	is.Equal(r.RemainingRequestTime("e1", time.Minute, now), 49*time.Second) // process b drained, process a did not
+	is.Equal(r.RemainingRequestTime("e1", time.Minute, now.Add(time.Minute)), time.Duration(0))
 }
--- a/internal/scheduler/placing.go
+++ b/internal/scheduler/placing.go
@@ -249,7 +249,7 @@
 // configuration may allow it.
 func (s *Shard) reject(t *task, d placer.Never, now time.Time) {
 	if t.kind == commander.KindService {
-		s.postpone(t, recorder.KindNever, string(d.Rule), d.Reason, nil, now)
+		s.postpone(t, recorder.KindUnschedulable, string(d.Rule), d.Reason, nil, now)
 		return
 	}
 	n := d.Nearest
--- a/internal/scheduler/work.go
+++ b/internal/scheduler/work.go
@@ -415,7 +415,7 @@
 	case JobCancelled:
 		s.recordDecision(Record{ID: t.Spec.Name, Kind: recorder.KindCancel, Rule: "Asked", Worker: at, Cause: decision}, now)
 	case JobFailed, JobRejected:
-		s.recordDecision(Record{ID: t.Spec.Name, Kind: recorder.KindNever, Rule: "GivenUp", Worker: at, Cause: decision}, now)
+		s.recordDecision(Record{ID: t.Spec.Name, Kind: recorder.KindUnschedulable, Rule: "GivenUp", Worker: at, Cause: decision}, now)
 	}
 }
 
--- a/internal/server/heartbeat.go
+++ b/internal/server/heartbeat.go
@@ -78,10 +78,10 @@
 // recordIdentity records the identity, notices and configuration generation in a peer's
 // heartbeat or answer.
 func (h *host) recordIdentity(id messenger.Identity, now time.Time) {
-	for _, name := range h.members.Heard(id, now) {
+	for _, name := range h.members.RecordIdentity(id, now) {
 		h.log.Info("host is leaving", "Leaving", name, "Source", "heartbeat", "Peer", id.Host)
 	}
-	h.follower.Seen(id.Host, id.Generation)
+	h.follower.RecordGeneration(id.Host, id.Generation)
 }
 
 // handleHeartbeat records a peer's heartbeat and returns the answer.
@@ -91,7 +91,7 @@
 	h.endpoints.setClaims(m.Host, m.Claims)
 	a := messenger.HeartbeatAnswer{Identity: h.identity(m.Host), Promises: h.owner.Promise(m)}
 	if m.FailureDomain == h.settings.FailureDomain {
-		a.HoldFor = h.members.LeftBehind(m.Host, h.maxRequestTimeout()+crashedProcessMargin, now)
+		a.HoldFor = h.members.RemainingRequestTime(m.Host, h.maxRequestTimeout()+crashedProcessMargin, now)
 		a.Endpoints = h.owner.Endpoints()
 		a.Grants = h.grants.handleReport(router.Report{Host: m.Host, Incarnation: m.Incarnation, Sequence: m.Sequence, RunningFor: m.RunningFor, Demand: m.Demand}, now)
 	} else if len(h.notReady()) == 0 {
--- a/internal/server/jobs.go
+++ b/internal/server/jobs.go
@@ -122,7 +122,7 @@
 }
 
 func (p peerHandler) Drain(_ context.Context, host string, undo bool) error {
-	p.h.members.Mark(host, messenger.SourceOperator, !undo)
+	p.h.members.SetLeaving(host, messenger.SourceOperator, !undo)
 	return nil
 }
 
--- a/internal/server/operators.go
+++ b/internal/server/operators.go
@@ -25,7 +25,7 @@
 	return &administrator.Error{Code: administrator.CodeNotFound, Message: what + " " + name + " does not exist"}
 }
 
-func (b operatorBackend) ApplyConfiguration(ctx context.Context, s publisher.Submission) (publisher.Applied, error) {
+func (b operatorBackend) ApplyConfiguration(ctx context.Context, s publisher.Submission) (publisher.ApplyResult, error) {
 	return b.h.publisher.Apply(ctx, s)
 }
 
@@ -38,7 +38,7 @@
 	v := administrator.ConfigurationView{Host: b.h.settings.Name, Record: a.record, InEffectFor: now.Sub(a.adoptedAt)}
 	v.Hosts = append(v.Hosts, administrator.HostGeneration{Host: v.Host, Generation: a.record.Generation, InEffectFor: v.InEffectFor})
 	for _, p := range b.h.members.Peers(now) {
-		age := now.Sub(p.HeardAt)
+		age := now.Sub(p.LastHeartbeat)
 		v.Hosts = append(v.Hosts, administrator.HostGeneration{Host: p.Host, Generation: p.Generation, InEffectFor: p.InEffectFor + age, HeardAgo: age})
 	}
 	slices.SortFunc(v.Hosts, func(a, b administrator.HostGeneration) int { return cmp.Compare(a.Host, b.Host) })
@@ -204,7 +204,7 @@
 	if a == nil || !isConfiguredHost(a.parsed, name) {
 		return notFound("host", name)
 	}
-	b.h.members.Mark(name, messenger.SourceOperator, !undo)
+	b.h.members.SetLeaving(name, messenger.SourceOperator, !undo)
 	b.h.log.Info("operator changed a host's state", "Leaving", name, "Undo", undo)
 	gather(ctx, b.h, func(ctx context.Context, l *link) (struct{}, error) {
 		return struct{}{}, l.client.Drain(ctx, name, undo)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -167,7 +167,7 @@
 
 	h.follower = publisher.NewFollower(publisher.FollowerOptions{
 		Store: h.store, Keys: s.OperatorKeys, Peers: h.peers.configurationPeers,
-		Adopted: h.adopt, Log: log, Random: newRandom(),
+		OnAdopted: h.adopt, Log: log, Random: newRandom(),
 	})
 	return h, cleanup, nil
 }
@@ -229,7 +229,7 @@
 // that successors need not wait until the ownership leases expire.
 func (h *host) shutdown(ctx context.Context, r *receiver.Receiver, m *messenger.Server) error {
 	h.leaving.Store(true)
-	h.members.Mark(h.settings.Name, messenger.SourceHost, true)
+	h.members.SetLeaving(h.settings.Name, messenger.SourceHost, true)
 	h.log.Info("leaving", "BalancerDelay", balancerDelay, "DrainTimeout", h.settings.Limits.DrainTimeout)
 	time.Sleep(balancerDelay)
 	ctx, cancel := context.WithTimeout(ctx, h.settings.Limits.DrainTimeout)
@@ -341,7 +341,7 @@
 		if err != nil {
 			h.log.Debug("platform's host list not read", "Error", err)
 		}
-		for _, name := range h.members.PlatformList(l, time.Now()) {
+		for _, name := range h.members.RecordHostList(l, time.Now()) {
 			h.log.Info("host is leaving", "Leaving", name, "Source", messenger.SourcePlatform)
 		}
 		// The jitter spreads the reads of entry hosts that started at the same time.
--- a/internal/surveyor/estimate.go
+++ b/internal/surveyor/estimate.go
@@ -452,7 +452,7 @@
 	// The job history of a shard holds 500 ended jobs, each as large as in the journal.
 	const kept = 500
 	recordsSize := kept * m.lookup(journalEncodeByJobs).Fit(bytesOf).Slope
-	s.StateBytes = l.shards*(journal+recordsSize) + (1+publisher.HistoryLimit)*text
+	s.StateBytes = l.shards*(journal+recordsSize) + (1+publisher.MaxHistoryRecords)*text
 	s.InBytesPerSecond = l.shards*(t.bytesWritten+records*recordsSize) + writesPerChange*changes*text
 	return s
 }
@@ -515,6 +515,6 @@
 		{"store reads", peak.Store.ReadsPerSecond, maxStoreReadsPerSecond, "per second"},
 		{"largest value in the store", peak.Store.MaxValueBytes, maxStoreValueBytes, "bytes"},
 		{"a shard's journal", perShard, scheduler.MaxJournalSize, "bytes"},
-		{"text of the configuration", average.ConfigBytes, configurator.MaxTextSize, "bytes"},
+		{"text of the configuration", average.ConfigBytes, configurator.MaxTextBytes, "bytes"},
 	}
 }
--- a/internal/surveyor/measure.go
+++ b/internal/surveyor/measure.go
@@ -291,7 +291,7 @@
 			text, _ = msgpack.Marshal(m)
 			var in messenger.Heartbeat
 			_ = msgpack.Unmarshal(text, &in)
-			r.Heard(in.Identity, now)
+			r.RecordIdentity(in.Identity, now)
 		})
 		out.Bytes = float64(len(text))
 		return out
@@ -321,7 +321,7 @@
 func noticesAfterRestarts(hosts int) []messenger.HostNotice {
 	r, peer := registrarAfterRestarts(hosts), registrarAfterRestarts(hosts)
 	digest, _ := peer.Exchange("self")
-	r.Heard(messenger.Identity{Host: "peer", Incarnation: "a", NoticeDigest: digest}, startTime)
+	r.RecordIdentity(messenger.Identity{Host: "peer", Incarnation: "a", NoticeDigest: digest}, startTime)
 	_, notices := r.Exchange("peer")
 	return notices
 }
@@ -337,10 +337,10 @@
 		return l
 	}
 	now := startTime
-	r.PlatformList(list(storer.HostLeaving), now)
+	r.RecordHostList(list(storer.HostLeaving), now)
 	for range 2 {
-		now = now.Add(registrar.ListSettleTime)
-		r.PlatformList(list(storer.HostLive), now)
+		now = now.Add(registrar.LiveConfirmationTime)
+		r.RecordHostList(list(storer.HostLive), now)
 	}
 	return r
 }
