--- a/internal/evaluator/shard.go
+++ b/internal/evaluator/shard.go
@@ -41,7 +41,7 @@
 func newShard(sm *simulation, domain int) *shard {
 	return &shard{
 		sim: sm, domain: domain, workers: map[string]*worker{}, tasks: map[string]*task{}, available: true,
-		placer: placer.New(placer.Policy{Placement: sm.policies.Placement, Fleet: []configurator.Resources{sm.firm.Capacity}},
+		placer: placer.New(placer.Policy{Placement: sm.policies.Placement, WorkerSizes: []configurator.Resources{sm.firm.Capacity}},
 			sm.firm.Measures, newRandom(sm.seed, streamPolicy+stream(domain))),
 	}
 }
@@ -50,7 +50,7 @@
 	s.workers[w.name] = w
 	s.view = append(s.view, placer.Worker{
 		Name: w.name, Rack: w.rack, FailureDomain: s.sim.firm.Domains[w.domain], Capacity: w.capacity,
-		ReportedAt: s.sim.now, Fenced: true,
+		MeasuredAt: s.sim.now, EpochAccepted: true,
 	})
 }
 
@@ -71,20 +71,20 @@
 	}
 	s.placer.Observe(r, s.sim.now)
 	v := s.viewOf(r.Name)
-	if !r.ReportedAt.After(v.ReportedAt) {
+	if !r.MeasuredAt.After(v.MeasuredAt) {
 		return
 	}
-	v.ReportedAt = r.ReportedAt
-	for i := range r.Residents {
-		n := &r.Residents[i]
-		for j := range v.Residents {
-			if o := &v.Residents[j]; o.Name == n.Name {
+	v.MeasuredAt = r.MeasuredAt
+	for i := range r.AssignedTasks {
+		n := &r.AssignedTasks[i]
+		for j := range v.AssignedTasks {
+			if o := &v.AssignedTasks[j]; o.Name == n.Name {
 				o.Measured, o.Slowdown = n.Measured, n.Slowdown
-				o.Committed = placer.Commit(o.Declared, n.Measured)
+				o.Committed = placer.CommittedResources(o.Declared, n.Measured)
 			}
 		}
 	}
-	for _, r := range r.Residents {
+	for _, r := range r.AssignedTasks {
 		if t := s.tasks[r.Name]; t != nil && t.instance != nil {
 			t.instance.reportedSlowdown = r.Slowdown
 		}
@@ -96,7 +96,7 @@
 // has ended.
 func (s *shard) removeTask(w *worker, t *task, reason endReason) {
 	v := s.viewOf(w.name)
-	v.Residents = slices.DeleteFunc(v.Residents, func(r placer.Resident) bool { return r.Name == t.Name })
+	v.AssignedTasks = slices.DeleteFunc(v.AssignedTasks, func(r placer.AssignedTask) bool { return r.Name == t.Name })
 	delete(s.tasks, t.Name)
 	s.bumpVersion(v)
 	s.placer.TaskEnded(w.name, t.Name, reason == endFailed, s.sim.now)
@@ -150,7 +150,7 @@
 		for _, name := range d.Victims {
 			s.sendCommand(d.Worker, name, func(w *worker, v *task) { s.sim.stopTask(w, v, endEvicted) })
 		}
-	case placer.Never:
+	case placer.Unschedulable:
 		s.sim.countMeasured(&s.sim.result.Unschedulable)
 		return true
 	}
@@ -162,14 +162,14 @@
 	v, w := s.viewOf(name), s.workers[name]
 	if s.sim.policies.Placement == configurator.PlacementInterference {
 		sum := t.Declared
-		for i := range v.Residents {
-			sum = sum.Add(v.Residents[i].Committed)
+		for i := range v.AssignedTasks {
+			sum = sum.Add(v.AssignedTasks[i].Committed)
 		}
 		if !sum.Fits(v.Capacity) {
 			s.sim.recordViolation(1, fmt.Sprintf("assignment of %s to %s: committed %+v exceeds capacity %+v", t.Name, name, sum, v.Capacity))
 		}
 	}
-	v.Residents = append(v.Residents, placer.Resident{Task: t.Task, Committed: t.Declared, Started: s.sim.now, LatencyTarget: latencyTarget})
+	v.AssignedTasks = append(v.AssignedTasks, placer.AssignedTask{Task: t.Task, Committed: t.Declared, Started: s.sim.now, LatencyTarget: latencyTarget})
 	s.bumpVersion(v)
 	s.tasks[t.Name] = t
 	if t.job != nil && t.Urgent && t.Attempt == 1 {
@@ -189,8 +189,8 @@
 // still runs on the worker.
 func (s *shard) sendCommand(worker, name string, f func(*worker, *task)) {
 	v := s.viewOf(worker)
-	for i := range v.Residents {
-		if r := &v.Residents[i]; r.Name == name {
+	for i := range v.AssignedTasks {
+		if r := &v.AssignedTasks[i]; r.Name == name {
 			r.LastAction = s.sim.now
 			r.Stopping = true
 			s.bumpVersion(v)
@@ -209,15 +209,15 @@
 	if !s.available {
 		return
 	}
-	for _, r := range s.placer.Relieve(s.view, s.sim.now) {
+	for _, r := range s.placer.Mitigate(s.view, s.sim.now) {
 		switch a := r.(type) {
 		case placer.Throttle:
 			s.sim.countMeasured(&s.sim.result.Throttles)
 			s.sendCommand(a.Worker, a.Task, func(_ *worker, t *task) { t.speedLimit, t.lastCommandAt = a.Limit, s.sim.now })
 			v := s.viewOf(a.Worker)
-			for i := range v.Residents {
-				if v.Residents[i].Name == a.Task {
-					v.Residents[i].Stopping, v.Residents[i].Throttled = false, a.Limit
+			for i := range v.AssignedTasks {
+				if v.AssignedTasks[i].Name == a.Task {
+					v.AssignedTasks[i].Stopping, v.AssignedTasks[i].Throttled = false, a.Limit
 				}
 			}
 		case placer.Checkpoint:
@@ -235,9 +235,9 @@
 	}
 	v := s.viewOf(w.name)
 	// The remaining residents were assigned but never started.
-	for _, r := range slices.Clone(v.Residents) {
+	for _, r := range slices.Clone(v.AssignedTasks) {
 		t := s.tasks[r.Name]
-		v.Residents = slices.DeleteFunc(v.Residents, func(o placer.Resident) bool { return o.Name == r.Name })
+		v.AssignedTasks = slices.DeleteFunc(v.AssignedTasks, func(o placer.AssignedTask) bool { return o.Name == r.Name })
 		delete(s.tasks, r.Name)
 		if t != nil && t.job != nil && !t.job.ended {
 			s.sim.enqueue(s.domain, t.job)
--- a/internal/evaluator/worker.go
+++ b/internal/evaluator/worker.go
@@ -144,10 +144,10 @@
 	}
 	r := placer.Worker{
 		Name: w.name, Rack: w.rack, FailureDomain: sm.firm.Domains[w.domain], Capacity: w.capacity,
-		ReportedAt: sm.now, Fenced: true, Residents: make([]placer.Resident, 0, len(w.tasks)),
+		MeasuredAt: sm.now, EpochAccepted: true, AssignedTasks: make([]placer.AssignedTask, 0, len(w.tasks)),
 	}
 	for _, t := range w.tasks {
-		r.Residents = append(r.Residents, placer.Resident{
+		r.AssignedTasks = append(r.AssignedTasks, placer.AssignedTask{
 			Task:     t.Task,
 			Measured: configurator.Resources{Cores: t.coresInUse(), Memory: t.memoryInUse(), Accelerators: t.usage.Accelerators},
 			Slowdown: sm.measuredSlowdown(t),
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -28,31 +28,31 @@
 
 func at(d time.Duration) time.Time { return testStart.Add(d) }
 
-// TestTenure guards against an owner that counts on a renewal, or on promises of only some
+// TestLease guards against an owner that counts on a renewal, or on promises of only some
 // successors, for longer than its successors wait.
-func TestTenure(t *testing.T) {
+func TestLease(t *testing.T) {
 	is := is.New(t)
-	o := keeper.NewTenure(ttl, []string{"b", "c"}, at(0))
+	o := keeper.NewLease(ttl, []string{"b", "c"}, at(0))
 	end := ttl - keeper.Margin(ttl)
-	is.Equal(o.Until(), at(end))
-	is.True(o.Holds(at(end - 1)))
-	is.True(!o.Holds(at(end)))
-	o.Promised("b", at(2*time.Second))
-	o.Promised("other", at(2*time.Second))
-	is.Equal(o.Until(), at(end)) // one of two promises is not enough
-	o.Promised("c", at(time.Second))
-	is.Equal(o.Until(), at(time.Second+end)) // the earliest promise counts
-	o.Renewed(at(5 * time.Second))
-	o.Renewed(at(4 * time.Second)) // the answer to an earlier renewal arrives late
-	is.Equal(o.Until(), at(5*time.Second+end))
+	is.Equal(o.Expiry(), at(end))
+	is.True(o.Valid(at(end - 1)))
+	is.True(!o.Valid(at(end)))
+	o.RecordPromise("b", at(2*time.Second))
+	o.RecordPromise("other", at(2*time.Second))
+	is.Equal(o.Expiry(), at(end)) // one of two promises is not enough
+	o.RecordPromise("c", at(time.Second))
+	is.Equal(o.Expiry(), at(time.Second+end)) // the earliest promise counts
+	o.RecordRenewal(at(5 * time.Second))
+	o.RecordRenewal(at(4 * time.Second)) // the answer to an earlier renewal arrives late
+	is.Equal(o.Expiry(), at(5*time.Second+end))
 	o.SetSuccessors([]string{"b", "c", "d"})
-	o.Promised("b", at(9*time.Second))
-	o.Promised("c", at(9*time.Second))
-	is.Equal(o.Until(), at(5*time.Second+end)) // d has not promised
-	is.True(keeper.NewTenure(ttl, nil, time.Time{}).Until().IsZero())
-	single := keeper.NewTenure(ttl, nil, at(0))
-	single.Promised("b", at(9*time.Second))
-	is.Equal(single.Until(), at(end)) // without successors only renewals in the store count
+	o.RecordPromise("b", at(9*time.Second))
+	o.RecordPromise("c", at(9*time.Second))
+	is.Equal(o.Expiry(), at(5*time.Second+end)) // d has not promised
+	is.True(keeper.NewLease(ttl, nil, time.Time{}).Expiry().IsZero())
+	single := keeper.NewLease(ttl, nil, at(0))
+	single.RecordPromise("b", at(9*time.Second))
+	is.Equal(single.Expiry(), at(end)) // without successors only renewals in the store count
 }
 
 // TestClaimConditions guards against a successor that claims a shard although one of the four
@@ -62,21 +62,21 @@
 	s := keeper.NewSuccessor(ttl, at(0))
 	is.True(!s.MayClaim("x", at(time.Hour))) // no version read yet
 	v := keeper.Version{Epoch: 4, Renewal: 7}
-	s.Seen("x", v, at(time.Second))
+	s.RecordVersion("x", v, at(time.Second))
 	is.True(!s.MayClaim("x", at(3*time.Second)))
-	s.Seen("x", v, at(3*time.Second)) // unchanged: the first reading counts
+	s.RecordVersion("x", v, at(3*time.Second)) // unchanged: the first reading counts
 	is.True(s.MayClaim("x", at(4*time.Second)))
 	is.True(!s.Promise("x", 3, at(4*time.Second))) // a later epoch was read
 	is.True(s.Promise("x", 4, at(4*time.Second)))
 	is.True(!s.MayClaim("x", at(7*time.Second-1)))
 	is.True(s.MayClaim("x", at(7*time.Second)))
-	s.Claiming("x")
+	s.ClaimStarted("x")
 	is.True(!s.Promise("x", 5, at(7*time.Second))) // the claim may still take effect
 	is.True(!s.MayClaim("x", at(8*time.Second)))
-	s.Resolved("x")
+	s.ClaimResolved("x")
 	is.True(s.Promise("x", 5, at(8*time.Second)))
 	restarted := keeper.NewSuccessor(ttl, at(10*time.Second))
-	restarted.Seen("x", v, at(9*time.Second))
+	restarted.RecordVersion("x", v, at(9*time.Second))
 	is.True(!restarted.MayClaim("x", at(13*time.Second-1))) // a promise of an earlier process may be in effect
 	is.True(restarted.MayClaim("x", at(13*time.Second)))
 }
@@ -99,7 +99,7 @@
 			return at(time.Duration(float64(step) * float64(n) * (1 + drift[host])))
 		}
 		names := []string{"0", "1", "2"}
-		owner := keeper.NewTenure(ttl, names[1:], local(0, 0))
+		owner := keeper.NewLease(ttl, names[1:], local(0, 0))
 		version := keeper.Version{Epoch: 1}
 		var successors [hosts]*keeper.Successor
 		var inTransit [hosts]map[int][]heartbeat
@@ -118,7 +118,7 @@
 			partitioned := n >= partitionStep
 			if n%20 == 0 && !(partitioned && withoutStore == 0) {
 				version.Renewal++
-				owner.Renewed(local(0, n))
+				owner.RecordRenewal(local(0, n))
 			}
 			for i := 1; i < hosts; i++ {
 				if n%10 == 0 && (!partitioned || reachable[i]) {
@@ -128,11 +128,11 @@
 				}
 				for _, m := range inTransit[i][n] {
 					if successors[i].Promise("x", 1, local(i, n)) {
-						answers[m.answered] = append(answers[m.answered], func() { owner.Promised(names[i], local(0, m.sent)) })
+						answers[m.answered] = append(answers[m.answered], func() { owner.RecordPromise(names[i], local(0, m.sent)) })
 					}
 				}
 				if !(partitioned && withoutStore == i) && rapid.IntRange(0, 4).Draw(rt, "read") == 0 {
-					successors[i].Seen("x", version, local(i, n))
+					successors[i].RecordVersion("x", version, local(i, n))
 				}
 			}
 			for _, f := range answers[n] {
@@ -140,10 +140,10 @@
 			}
 			for i := 1; i < hosts; i++ {
 				current := version
-				if successors[i].MayClaim("x", local(i, n)) && owner.Holds(local(0, n)) {
+				if successors[i].MayClaim("x", local(i, n)) && owner.Valid(local(0, n)) {
 					// The claim is a compare-and-swap, which fails if the owner has renewed since the
 					// last read. Without such a renewal the claim would succeed.
-					successors[i].Seen("x", current, local(i, n))
+					successors[i].RecordVersion("x", current, local(i, n))
 					if successors[i].MayClaim("x", local(i, n)) {
 						rt.Fatalf("step %d: host %d may claim while the owner's lease is valid", n, i)
 					}
@@ -153,18 +153,18 @@
 	})
 }
 
-func ExampleTenure() {
+func ExampleLease() {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	t := keeper.NewTenure(3*time.Second, []string{"b"}, start)
-	t.Promised("b", start.Add(time.Second))
-	fmt.Println(t.Until().Sub(start), t.Holds(start.Add(3*time.Second)))
+	t := keeper.NewLease(3*time.Second, []string{"b"}, start)
+	t.RecordPromise("b", start.Add(time.Second))
+	fmt.Println(t.Expiry().Sub(start), t.Valid(start.Add(3*time.Second)))
 	// Output: 3.92s true
 }
 
 func ExampleSuccessor() {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	s := keeper.NewSuccessor(3*time.Second, start)
-	s.Seen("malolos/0", keeper.Version{Epoch: 1}, start)
+	s.RecordVersion("malolos/0", keeper.Version{Epoch: 1}, start)
 	fmt.Println(s.Promise("malolos/0", 1, start.Add(time.Second)))
 	fmt.Println(s.MayClaim("malolos/0", start.Add(3*time.Second)), s.MayClaim("malolos/0", start.Add(4*time.Second)))
 	// Output:
--- a/internal/keeper/successor.go
+++ b/internal/keeper/successor.go
@@ -60,8 +60,8 @@
 	return true
 }
 
-// Seen records that version v of the shard's journal was received at now.
-func (s *Successor) Seen(shard string, v Version, now time.Time) {
+// RecordVersion records that version v of the shard's journal was received at now.
+func (s *Successor) RecordVersion(shard string, v Version, now time.Time) {
 	c := s.shard(shard)
 	c.highestEpoch = max(c.highestEpoch, v.Epoch)
 	if c.read && c.version == v {
@@ -90,9 +90,9 @@
 	return c.read && !c.claimPending && !now.Before(s.processStart.Add(s.ttl))
 }
 
-// Claiming records that a claim is about to be sent. No promise is given before Resolved, because
+// ClaimStarted records that a claim is about to be sent. No promise is given before Resolved, because
 // the claim may take effect at any time.
-func (s *Successor) Claiming(shard string) { s.shard(shard).claimPending = true }
+func (s *Successor) ClaimStarted(shard string) { s.shard(shard).claimPending = true }
 
-// Resolved records that the outcome of the claim is known.
-func (s *Successor) Resolved(shard string) { s.shard(shard).claimPending = false }
+// ClaimResolved records that the outcome of the claim is known.
+func (s *Successor) ClaimResolved(shard string) { s.shard(shard).claimPending = false }
--- a/internal/keeper/tenure.go
+++ b/internal/keeper/tenure.go
@@ -15,19 +15,19 @@
 // length plus 50 ms.
 func Margin(ttl time.Duration) time.Duration { return ttl/clockDriftDivisor + fixedMargin }
 
-// Tenure is the lease of an owner on its shard. It is extended by renewals in the store, or by
+// Lease is the lease of an owner on its shard. It is extended by renewals in the store, or by
 // promises of all possible successors not to claim the shard.
-type Tenure struct {
+type Lease struct {
 	ttl         time.Duration
 	lastRenewal time.Time            // when the last successful renewal was sent
 	promises    map[string]time.Time // by possible successor: when the answered heartbeat was sent
 }
 
-// NewTenure returns the lease of an owner whose claim was sent at start. If start is the zero time,
+// NewLease returns the lease of an owner whose claim was sent at start. If start is the zero time,
 // the lease is not valid before the first renewal or promise. Without successors, only renewals in
 // the store extend it.
-func NewTenure(ttl time.Duration, successors []string, start time.Time) *Tenure {
-	t := &Tenure{ttl: ttl, lastRenewal: start, promises: make(map[string]time.Time)}
+func NewLease(ttl time.Duration, successors []string, start time.Time) *Lease {
+	t := &Lease{ttl: ttl, lastRenewal: start, promises: make(map[string]time.Time)}
 	t.SetSuccessors(successors)
 	return t
 }
@@ -35,7 +35,7 @@
 // SetSuccessors replaces the possible successors and keeps the promises of those that remain. The
 // caller must not remove a possible successor before the store holds the shorter list, because that
 // host may claim the shard until then.
-func (t *Tenure) SetSuccessors(successors []string) {
+func (t *Lease) SetSuccessors(successors []string) {
 	kept := make(map[string]time.Time, len(successors))
 	for _, s := range successors {
 		kept[s] = t.promises[s]
@@ -43,23 +43,23 @@
 	t.promises = kept
 }
 
-// Renewed records a successful renewal in the store that was sent at sentAt.
-func (t *Tenure) Renewed(sentAt time.Time) {
+// RecordRenewal records a successful renewal in the store that was sent at sentAt.
+func (t *Lease) RecordRenewal(sentAt time.Time) {
 	if sentAt.After(t.lastRenewal) {
 		t.lastRenewal = sentAt
 	}
 }
 
-// Promised records the promise of a possible successor in answer to a heartbeat that was sent at
+// RecordPromise records the promise of a possible successor in answer to a heartbeat that was sent at
 // sentAt. Promises of other hosts are ignored.
-func (t *Tenure) Promised(by string, sentAt time.Time) {
+func (t *Lease) RecordPromise(by string, sentAt time.Time) {
 	if last, ok := t.promises[by]; ok && sentAt.After(last) {
 		t.promises[by] = sentAt
 	}
 }
 
-// Until returns the end of the lease, or the zero time if it was never valid.
-func (t *Tenure) Until() time.Time {
+// Expiry returns the end of the lease, or the zero time if it was never valid.
+func (t *Lease) Expiry() time.Time {
 	from := t.lastRenewal
 	if p := t.earliestPromise(); p.After(from) {
 		from = p
@@ -72,7 +72,7 @@
 
 // earliestPromise returns the earliest of the last promises of all possible successors, or the zero
 // time if one of them has not promised.
-func (t *Tenure) earliestPromise() time.Time {
+func (t *Lease) earliestPromise() time.Time {
 	var earliest time.Time
 	first := true
 	for _, p := range t.promises {
@@ -83,5 +83,5 @@
 	return earliest
 }
 
-// Holds reports whether the owner may act at now.
-func (t *Tenure) Holds(now time.Time) bool { return now.Before(t.Until()) }
+// Valid reports whether the owner may act at now.
+func (t *Lease) Valid(now time.Time) bool { return now.Before(t.Expiry()) }
--- a/internal/placer/bench_test.go
+++ b/internal/placer/bench_test.go
@@ -21,7 +21,7 @@
 			if j < 3 {
 				t.Kind, t.Spread = KindService, fmt.Sprint("service", rnd.IntN(20))
 			}
-			addResident(&ws[i], t)
+			addTask(&ws[i], t)
 		}
 	}
 	return ws
@@ -79,14 +79,14 @@
 // BenchmarkObserve measures the processing of one report of a full worker.
 func BenchmarkObserve(b *testing.B) {
 	p, ws := newPlacer(Policy{}), benchFleet(1)
-	for i := range ws[0].Residents {
-		ws[0].Residents[i].Slowdown = 1.2
+	for i := range ws[0].AssignedTasks {
+		ws[0].AssignedTasks[i].Slowdown = 1.2
 	}
 	b.ReportAllocs()
 	at := testStart
 	for b.Loop() {
 		at = at.Add(1)
-		ws[0].ReportedAt = at
+		ws[0].MeasuredAt = at
 		p.Observe(ws[0], at)
 	}
 }
--- a/internal/placer/estimator.go
+++ b/internal/placer/estimator.go
@@ -168,17 +168,17 @@
 // before changes nothing.
 func (p *Placer) Observe(w Worker, now time.Time) {
 	e := p.estimator
-	if w.Capacity.Cores <= 0 || w.ReportedAt.After(now) || !e.acceptReport(w.Name, w.ReportedAt) {
+	if w.Capacity.Cores <= 0 || w.MeasuredAt.After(now) || !e.acceptReport(w.Name, w.MeasuredAt) {
 		return
 	}
 	e.presentClasses = e.presentClasses[:0]
-	for i := range w.Residents {
-		r := &w.Residents[i]
-		if r.LastAction.After(w.ReportedAt) {
+	for i := range w.AssignedTasks {
+		r := &w.AssignedTasks[i]
+		if r.LastAction.After(w.MeasuredAt) {
 			// The report may have been measured before the action took effect.
 			return
 		}
-		if r.Started.After(w.ReportedAt) {
+		if r.Started.After(w.MeasuredAt) {
 			continue
 		}
 		class := e.classIndex(r.Class)
@@ -188,10 +188,10 @@
 		e.classLoads[class] += r.usedCores() / w.Capacity.Cores
 		e.updateSizeRatio(class, r)
 	}
-	for i := range w.Residents {
-		r := &w.Residents[i]
-		if r.Slowdown > 0 && !r.Started.After(w.ReportedAt) {
-			e.updateCoefficients(e.classIndex(r.Class), r.usedCores()/w.Capacity.Cores, r.Slowdown-1, w.ReportedAt)
+	for i := range w.AssignedTasks {
+		r := &w.AssignedTasks[i]
+		if r.Slowdown > 0 && !r.Started.After(w.MeasuredAt) {
+			e.updateCoefficients(e.classIndex(r.Class), r.usedCores()/w.Capacity.Cores, r.Slowdown-1, w.MeasuredAt)
 		}
 	}
 	for _, c := range e.presentClasses {
@@ -247,7 +247,7 @@
 	return e.classLoads[c]
 }
 
-func (e *estimator) updateSizeRatio(class int, r *Resident) {
+func (e *estimator) updateSizeRatio(class int, r *AssignedTask) {
 	if r.Measured.Cores <= 0 || r.Declared.Cores <= 0 || r.Throttled > 0 && r.Throttled < 1 {
 		return
 	}
--- a/internal/placer/estimator_test.go
+++ b/internal/placer/estimator_test.go
@@ -19,11 +19,11 @@
 	for i := range n {
 		now = now.Add(time.Second)
 		w := fleet(1, capacity8)[0]
-		w.Name, w.ReportedAt = fmt.Sprint("w", i%5), now
+		w.Name, w.MeasuredAt = fmt.Sprint("w", i%5), now
 		noisy, quiet := rnd.Float64()*4, rnd.Float64()*4
-		addResident(&w, Task{Name: "n", Class: "noisy", Kind: KindBatch}).Measured.Cores = noisy
-		addResident(&w, Task{Name: "q", Class: "quiet", Kind: KindBatch}).Measured.Cores = quiet
-		s := addResident(&w, Task{Name: "s", Class: "quotes", Kind: KindService})
+		addTask(&w, Task{Name: "n", Class: "noisy", Kind: KindBatch}).Measured.Cores = noisy
+		addTask(&w, Task{Name: "q", Class: "quiet", Kind: KindBatch}).Measured.Cores = quiet
+		s := addTask(&w, Task{Name: "s", Class: "quotes", Kind: KindService})
 		s.Measured.Cores = 1
 		s.Slowdown = 1 + 2*noisy/8 + 0.05*rnd.NormFloat64()
 		p.Observe(w, now)
@@ -48,8 +48,8 @@
 
 	ws := fleet(2, capacity8)
 	for i, class := range []string{"noisy", "quiet"} {
-		addResident(&ws[i], Task{Name: "n" + class, Class: class, Kind: KindBatch, Declared: configurator.Resources{Cores: 4}})
-		ws[i].ReportedAt = now
+		addTask(&ws[i], Task{Name: "n" + class, Class: class, Kind: KindBatch, Declared: configurator.Resources{Cores: 4}})
+		ws[i].MeasuredAt = now
 	}
 	service := Task{Name: "s", Class: "quotes", Kind: KindService, Declared: configurator.Resources{Cores: 1}}
 	name, err := assignedWorker(p.Place(service, ws, now))
@@ -63,14 +63,14 @@
 	is := is.New(t)
 	p := newPlacer(Policy{})
 	w := fleet(1, capacity8)[0]
-	addResident(&w, Task{Name: "n", Class: "noisy", Kind: KindBatch}).Measured.Cores = 4
-	addResident(&w, Task{Name: "s", Class: "quotes", Kind: KindService}).Slowdown = 3
-	w.Residents[0].LastAction = testStart.Add(time.Second)
+	addTask(&w, Task{Name: "n", Class: "noisy", Kind: KindBatch}).Measured.Cores = 4
+	addTask(&w, Task{Name: "s", Class: "quotes", Kind: KindService}).Slowdown = 3
+	w.AssignedTasks[0].LastAction = testStart.Add(time.Second)
 	p.Observe(w, testStart.Add(2*time.Second))
 	mean, _ := p.InterferenceCoefficient("quotes", "noisy", testStart)
 	is.Equal(mean, priorCoefficient) // throttled after the measurement
-	w.Residents[0].LastAction = time.Time{}
-	w.ReportedAt = testStart.Add(time.Second)
+	w.AssignedTasks[0].LastAction = time.Time{}
+	w.MeasuredAt = testStart.Add(time.Second)
 	p.Observe(w, testStart.Add(2*time.Second))
 	once, _ := p.InterferenceCoefficient("quotes", "noisy", testStart)
 	is.True(once > priorCoefficient)
@@ -86,7 +86,7 @@
 	for i := range maxReportTimes + 100 {
 		w := fleet(1, capacity8)[0]
 		w.Name = fmt.Sprint("w", i)
-		addResident(&w, Task{Name: "t", Class: fmt.Sprint("class", i), Kind: KindBatch}).Slowdown = 2
+		addTask(&w, Task{Name: "t", Class: fmt.Sprint("class", i), Kind: KindBatch}).Slowdown = 2
 		p.Observe(w, testStart)
 		p.TaskEnded(w.Name, fmt.Sprint("job", i), true, testStart)
 	}
@@ -105,17 +105,17 @@
 	for range 10 {
 		now = now.Add(time.Second)
 		w := fleet(1, capacity8)[0]
-		w.ReportedAt = now
-		addResident(&w, batchTask("a", 1)).Measured = configurator.Resources{Cores: 4, Memory: 4 << 30}
+		w.MeasuredAt = now
+		addTask(&w, batchTask("a", 1)).Measured = configurator.Resources{Cores: 4, Memory: 4 << 30}
 		p.Observe(w, now)
 	}
 	ws := fleet(1, capacity8)
-	ws[0].ReportedAt = now
+	ws[0].MeasuredAt = now
 	placed := 0
 	for i := range 8 {
 		if _, err := assignedWorker(p.Place(batchTask(fmt.Sprint("b", i), 1), ws, now)); err == nil {
 			placed++
-			addResident(&ws[0], batchTask(fmt.Sprint("b", i), 1))
+			addTask(&ws[0], batchTask(fmt.Sprint("b", i), 1))
 		}
 	}
 	is.Equal(placed, 2)
--- a/internal/placer/mitigation.go
+++ b/internal/placer/mitigation.go
@@ -157,7 +157,7 @@
 
 // pressure returns the excess slowdown of a service instance relative to the one at SlowdownBound,
 // or its latency relative to its target if that is larger. The instance is degraded above 1.
-func (p *Placer) pressure(r *Resident) float64 {
+func (p *Placer) pressure(r *AssignedTask) float64 {
 	out := 0.0
 	if r.Slowdown > 0 {
 		out = (r.Slowdown - 1) / (p.policy.SlowdownBound - 1)
@@ -170,33 +170,33 @@
 	return out
 }
 
-// Relieve returns at most one action per worker: an action on the batch task that slows down the
+// Mitigate returns at most one action per worker: an action on the batch task that slows down the
 // worker's most degraded service at the least cost, the release of a throttle, or the move of a
 // batch task if memory runs out. The next action on a worker waits for a report that was measured
 // after the last one.
-func (p *Placer) Relieve(ws []Worker, now time.Time) []Relief {
+func (p *Placer) Mitigate(ws []Worker, now time.Time) []Mitigation {
 	if p.baseline() {
 		return nil
 	}
 	p.mitigation.prune(now)
-	var out []Relief
+	var out []Mitigation
 	for i := range ws {
 		w := &ws[i]
-		if !w.Fenced || now.Sub(w.ReportedAt) > maxReportAge || !w.ReportedAt.After(p.lastAction(w)) {
+		if !w.EpochAccepted || now.Sub(w.MeasuredAt) > maxReportAge || !w.MeasuredAt.After(p.lastAction(w)) {
 			continue
 		}
 		worst, pressure := -1, 0.0
-		for j := range w.Residents {
-			if r := &w.Residents[j]; r.Kind == KindService && r.Started.Before(w.ReportedAt) {
+		for j := range w.AssignedTasks {
+			if r := &w.AssignedTasks[j]; r.Kind == KindService && r.Started.Before(w.MeasuredAt) {
 				if v := p.pressure(r); worst < 0 || v > pressure {
 					worst, pressure = j, v
 				}
 			}
 		}
-		var r Relief
+		var r Mitigation
 		switch {
 		case worst >= 0 && pressure > 1:
-			r = p.mitigate(w, &w.Residents[worst], pressure, now)
+			r = p.mitigateService(w, &w.AssignedTasks[worst], pressure, now)
 		case pressure < maxPressureBeforeRelease:
 			r = p.release(w, worst, now)
 		}
@@ -214,8 +214,8 @@
 // times, which are still known after a change of owner.
 func (p *Placer) lastAction(w *Worker) time.Time {
 	last := p.mitigation.lastActions[w.Name]
-	for i := range w.Residents {
-		last = latest(last, w.Residents[i].LastAction)
+	for i := range w.AssignedTasks {
+		last = latest(last, w.AssignedTasks[i].LastAction)
 	}
 	return last
 }
@@ -230,11 +230,11 @@
 // neighbours returns the batch tasks on which an action may relieve a service, cheapest first; the
 // index of a task whose checkpoint is overdue, or -1; and the excess slowdown that the estimate
 // attributes to all batch tasks together.
-func (p *Placer) neighbours(w *Worker, service *Resident, now time.Time) (list []neighbour, overdue int, explained float64) {
+func (p *Placer) neighbours(w *Worker, service *AssignedTask, now time.Time) (list []neighbour, overdue int, explained float64) {
 	victim := p.estimator.classIndex(service.Class)
 	overdue = -1
-	for i := range w.Residents {
-		r := &w.Residents[i]
+	for i := range w.AssignedTasks {
+		r := &w.AssignedTasks[i]
 		if r.Kind != KindBatch {
 			continue
 		}
@@ -268,9 +268,9 @@
 	return list, overdue, explained
 }
 
-// mitigate returns the next action for a degraded service: a throttle if a neighbour can still be
+// mitigateService returns the next action for a degraded service: a throttle if a neighbour can still be
 // throttled, then a move of a neighbour, then a stop of one whose checkpoint is overdue.
-func (p *Placer) mitigate(w *Worker, service *Resident, pressure float64, now time.Time) Relief {
+func (p *Placer) mitigateService(w *Worker, service *AssignedTask, pressure float64, now time.Time) Mitigation {
 	list, overdue, explained := p.neighbours(w, service, now)
 	if !p.likelyEffective(w, service, explained, now) {
 		return nil
@@ -278,7 +278,7 @@
 	cause := fmt.Sprintf("slowdown %.2f, latency %s, target %s", service.Slowdown, service.Latency, service.LatencyTarget)
 	candidates := neighbourCandidates(w, list, now)
 	for _, n := range list {
-		r := &w.Residents[n.resident]
+		r := &w.AssignedTasks[n.resident]
 		if limit := limitOf(r); limit > minThrottleLimit {
 			t := p.mitigation.recordAction(w.Name, r.Name, now)
 			t.recordThrottle(now)
@@ -289,7 +289,7 @@
 	// The higher the weight of evictions, the more degraded a service must be to justify one.
 	mayMove := pressure > 1+p.measures.Evictions
 	for _, n := range list {
-		r := &w.Residents[n.resident]
+		r := &w.AssignedTasks[n.resident]
 		if r.Urgent || !mayMove {
 			continue
 		}
@@ -297,8 +297,8 @@
 		p.mitigation.moves[r.Name] = move{w.Name, now.Add(moveBackDelay)}
 		return Checkpoint{Worker: w.Name, Task: r.Name, Service: service.Name, Rule: RuleMove, Cause: cause, Candidates: candidates}
 	}
-	if overdue >= 0 && p.mitigation.belowActionLimit(w.Residents[overdue].Name, now) {
-		r := &w.Residents[overdue]
+	if overdue >= 0 && p.mitigation.belowActionLimit(w.AssignedTasks[overdue].Name, now) {
+		r := &w.AssignedTasks[overdue]
 		p.mitigation.recordAction(w.Name, r.Name, now)
 		return Stop{Worker: w.Name, Task: r.Name, Service: service.Name, Rule: RuleStop, Cause: "checkpoint did not complete; " + cause, Candidates: candidates}
 	}
@@ -308,7 +308,7 @@
 // likelyEffective reports whether mitigation can help: the neighbours explain enough of the excess
 // slowdown, and earlier actions on the worker had an effect. It cannot help an instance that is
 // slow for a reason of its own.
-func (p *Placer) likelyEffective(w *Worker, service *Resident, explained float64, now time.Time) bool {
+func (p *Placer) likelyEffective(w *Worker, service *AssignedTask, explained float64, now time.Time) bool {
 	if service.Slowdown > 0 && explained < minExplainedShare*(service.Slowdown-1) {
 		return false
 	}
@@ -333,7 +333,7 @@
 }
 
 // limitOf returns the share of declared cores that r may use, 1 if it is not throttled.
-func limitOf(r *Resident) float64 {
+func limitOf(r *AssignedTask) float64 {
 	if r.Throttled <= 0 || r.Throttled > 1 {
 		return 1
 	}
@@ -356,16 +356,16 @@
 func neighbourCandidates(w *Worker, list []neighbour, now time.Time) []Candidate {
 	out := make([]Candidate, 0, min(len(list), MaxCandidates))
 	for _, n := range list[:min(len(list), MaxCandidates)] {
-		out = append(out, Candidate{Name: w.Residents[n.resident].Name, Score: n.costPerSlowdown, Interference: n.slowdown, Age: now.Sub(w.ReportedAt)})
+		out = append(out, Candidate{Name: w.AssignedTasks[n.resident].Name, Score: n.costPerSlowdown, Interference: n.slowdown, Age: now.Sub(w.MeasuredAt)})
 	}
 	return out
 }
 
 // release doubles the limit of one throttled task if the worker's services are estimated to stay
 // below maxPressureAfterRelease.
-func (p *Placer) release(w *Worker, worst int, now time.Time) Relief {
-	for i := range w.Residents {
-		r := &w.Residents[i]
+func (p *Placer) release(w *Worker, worst int, now time.Time) Mitigation {
+	for i := range w.AssignedTasks {
+		r := &w.AssignedTasks[i]
 		limit := limitOf(r)
 		if limit == 1 || r.Kind != KindBatch || r.Stopping {
 			continue
@@ -379,7 +379,7 @@
 			continue
 		}
 		next := min(1, 2*limit)
-		if worst >= 0 && p.pressureAfterRelease(w, &w.Residents[worst], r, limit, next, now) > maxPressureAfterRelease {
+		if worst >= 0 && p.pressureAfterRelease(w, &w.AssignedTasks[worst], r, limit, next, now) > maxPressureAfterRelease {
 			continue
 		}
 		t.released = now
@@ -390,7 +390,7 @@
 }
 
 // pressureAfterRelease estimates the pressure on a service after the limit of r is raised to next.
-func (p *Placer) pressureAfterRelease(w *Worker, service, r *Resident, limit, next float64, now time.Time) float64 {
+func (p *Placer) pressureAfterRelease(w *Worker, service, r *AssignedTask, limit, next float64, now time.Time) float64 {
 	mean, _ := p.estimator.coefficient(p.estimator.classIndex(service.Class), p.estimator.classIndex(r.Class), now)
 	added := mean * r.usedCores() * (next/limit - 1) / w.Capacity.Cores
 	return p.pressure(service) + added/(p.policy.SlowdownBound-1)
@@ -398,11 +398,11 @@
 
 // mitigateMemory moves the batch task with the lowest cost per byte of memory if the worker's
 // measured memory exceeds maxMemoryShare of its capacity.
-func (p *Placer) mitigateMemory(w *Worker, now time.Time) Relief {
+func (p *Placer) mitigateMemory(w *Worker, now time.Time) Mitigation {
 	var used int64
 	best, bestCost := -1, 0.0
-	for i := range w.Residents {
-		r := &w.Residents[i]
+	for i := range w.AssignedTasks {
+		r := &w.AssignedTasks[i]
 		used += r.Measured.Memory
 		if r.Kind != KindBatch || r.Urgent || r.Stopping || r.Measured.Memory == 0 || !p.mitigation.belowActionLimit(r.Name, now) {
 			continue
@@ -414,7 +414,7 @@
 	if best < 0 || float64(used) <= maxMemoryShare*float64(w.Capacity.Memory) {
 		return nil
 	}
-	r := &w.Residents[best]
+	r := &w.AssignedTasks[best]
 	p.mitigation.recordAction(w.Name, r.Name, now).checkpointed = now
 	p.mitigation.moves[r.Name] = move{w.Name, now.Add(moveBackDelay)}
 	return Checkpoint{Worker: w.Name, Task: r.Name, Rule: RuleOverCapacity, Cause: fmt.Sprintf("measured memory %d of %d bytes", used, w.Capacity.Memory)}
--- a/internal/placer/mitigation_test.go
+++ b/internal/placer/mitigation_test.go
@@ -18,24 +18,24 @@
 
 func newFakeWorker(now time.Time) *fakeWorker {
 	f := &fakeWorker{Worker: fleet(1, capacity8)[0], noisySlowdown: 2}
-	addResident(&f.Worker, Task{Name: "s", Class: "quotes", Kind: KindService})
+	addTask(&f.Worker, Task{Name: "s", Class: "quotes", Kind: KindService})
 	for _, n := range []string{"n1", "n2"} {
 		b := batchTask(n, 2)
 		b.Class = "noisy"
-		addResident(&f.Worker, b)
+		addTask(&f.Worker, b)
 	}
 	b := batchTask("q", 2)
 	b.Class = "quiet"
-	addResident(&f.Worker, b)
+	addTask(&f.Worker, b)
 	f.report(now)
 	return f
 }
 
 func (f *fakeWorker) report(now time.Time) {
-	f.ReportedAt = now
+	f.MeasuredAt = now
 	noisy := 0.0
-	for i := range f.Residents {
-		r := &f.Residents[i]
+	for i := range f.AssignedTasks {
+		r := &f.AssignedTasks[i]
 		if r.Kind == KindBatch {
 			r.Measured.Cores = r.Declared.Cores * limitOf(r)
 		}
@@ -43,14 +43,14 @@
 			noisy += r.Measured.Cores
 		}
 	}
-	f.Residents[0].Measured.Cores = 1
-	f.Residents[0].Slowdown = 1 + f.noisySlowdown*noisy/8
+	f.AssignedTasks[0].Measured.Cores = 1
+	f.AssignedTasks[0].Slowdown = 1 + f.noisySlowdown*noisy/8
 }
 
-func (f *fakeWorker) apply(actions []Relief, now time.Time) {
+func (f *fakeWorker) apply(actions []Mitigation, now time.Time) {
 	for _, a := range actions {
-		for i := range f.Residents {
-			r := &f.Residents[i]
+		for i := range f.AssignedTasks {
+			r := &f.AssignedTasks[i]
 			switch a := a.(type) {
 			case Throttle:
 				if r.Name == a.Task {
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestRelieveOrder guards against an action on a harmless neighbour, a second action on a worker
+// TestMitigationOrder guards against an action on a harmless neighbour, a second action on a worker
 // without a newer report, and a task being moved before it is throttled.
-func TestRelieveOrder(t *testing.T) {
+func TestMitigationOrder(t *testing.T) {
 	is := is.New(t)
 	p := newPlacer(Policy{SlowdownBound: 1.3})
 	now := observeReports(p, 300, rand.New(rand.NewPCG(5, 5))).Add(time.Minute)
@@ -78,11 +78,11 @@
 	stops := 0
 	for range 40 {
 		now = now.Add(time.Second)
-		actions := p.Relieve([]Worker{f.Worker}, now)
+		actions := p.Mitigate([]Worker{f.Worker}, now)
 		f.apply(actions, now)
 		if len(actions) > 0 {
 			is.Equal(len(actions), 1)
-			is.Equal(len(p.Relieve([]Worker{f.Worker}, now.Add(time.Second))), 0) // no newer report
+			is.Equal(len(p.Mitigate([]Worker{f.Worker}, now.Add(time.Second))), 0) // no newer report
 		}
 		for _, a := range actions {
 			switch a := a.(type) {
@@ -98,16 +98,16 @@
 		}
 		now = now.Add(time.Second)
 		f.report(now)
-		f.Residents[0].Slowdown = 1.5 // stays degraded
+		f.AssignedTasks[0].Slowdown = 1.5 // stays degraded
 	}
 	is.Equal(kinds, []string{"throttle", "throttle", "checkpoint", "checkpoint"})
 	is.True(stops > 0) // the checkpoints never complete
 	is.True(stops <= 2*maxActionsPerHour)
 }
 
-// TestRelieveUnrelatedSlowdown guards against neighbours being throttled and moved without end
+// TestMitigationOfUnrelatedSlowdown guards against neighbours being throttled and moved without end
 // because an instance is slow for a reason of its own.
-func TestRelieveUnrelatedSlowdown(t *testing.T) {
+func TestMitigationOfUnrelatedSlowdown(t *testing.T) {
 	is := is.New(t)
 	p := newPlacer(Policy{})
 	now := observeReports(p, 300, rand.New(rand.NewPCG(5, 5)))
@@ -115,15 +115,15 @@
 	for i := range 12 {
 		b := batchTask(fmt.Sprint("more", i), 0.5)
 		b.Class = "noisy"
-		addResident(&f.Worker, b)
+		addTask(&f.Worker, b)
 	}
 	actions := 0
 	for range 300 {
 		now = now.Add(2 * time.Second)
 		f.report(now)
-		f.Residents[0].Slowdown = 8
+		f.AssignedTasks[0].Slowdown = 8
 		p.Observe(f.Worker, now)
-		out := p.Relieve([]Worker{f.Worker}, now.Add(time.Second))
+		out := p.Mitigate([]Worker{f.Worker}, now.Add(time.Second))
 		f.apply(out, now.Add(time.Second))
 		actions += len(out)
 	}
@@ -143,7 +143,7 @@
 	run := func(d time.Duration) {
 		for end := now.Add(d); now.Before(end); now = now.Add(2 * time.Second) {
 			f.report(now)
-			out := p.Relieve([]Worker{f.Worker}, now.Add(time.Second))
+			out := p.Mitigate([]Worker{f.Worker}, now.Add(time.Second))
 			f.apply(out, now.Add(time.Second))
 			for _, a := range out {
 				actions++
@@ -154,13 +154,13 @@
 		}
 	}
 	run(20 * time.Minute)
-	is.True(f.Residents[0].Slowdown < 1.35)
+	is.True(f.AssignedTasks[0].Slowdown < 1.35)
 	is.True(actions <= 10)
 	f.noisySlowdown = 0.1
 	p.estimator = newEstimator() // as if newer reports had shown the class to be harmless
 	run(20 * time.Minute)
-	is.Equal(limitOf(&f.Residents[1]), 1.0)
-	is.Equal(limitOf(&f.Residents[2]), 1.0)
+	is.Equal(limitOf(&f.AssignedTasks[1]), 1.0)
+	is.Equal(limitOf(&f.AssignedTasks[2]), 1.0)
 	is.True(releases >= 2)
 }
 
@@ -172,9 +172,9 @@
 	f := newFakeWorker(testStart)
 	f.noisySlowdown = 0
 	f.report(testStart)
-	f.Residents[1].Measured.Memory = 31 << 30
-	f.Residents[2].Measured.Memory = 1 << 30
-	out := p.Relieve([]Worker{f.Worker}, testStart.Add(time.Second))
+	f.AssignedTasks[1].Measured.Memory = 31 << 30
+	f.AssignedTasks[2].Measured.Memory = 1 << 30
+	out := p.Mitigate([]Worker{f.Worker}, testStart.Add(time.Second))
 	is.Equal(len(out), 1)
 	c, ok := out[0].(Checkpoint)
 	is.True(ok)
--- a/internal/placer/model_test.go
+++ b/internal/placer/model_test.go
@@ -47,8 +47,8 @@
 // placer's sums.
 func committedSize(w *Worker, extra configurator.Resources) configurator.Resources {
 	sum := extra
-	for i := range w.Residents {
-		r := &w.Residents[i]
+	for i := range w.AssignedTasks {
+		r := &w.AssignedTasks[i]
 		sum.Cores += max(r.Declared.Cores, r.Measured.Cores*(1+coreMarginShare))
 		sum.Memory += max(r.Declared.Memory, r.Measured.Memory+r.Measured.Memory/10)
 		sum.Accelerators += max(r.Declared.Accelerators, r.Measured.Accelerators)
@@ -90,25 +90,25 @@
 	switch d := m.p.Place(t, m.workers, m.now).(type) {
 	case Assign:
 		w := m.find(d.Worker)
-		if w.Leaving || !w.Fenced || m.now.Sub(w.ReportedAt) > maxReportAge {
+		if w.Leaving || !w.EpochAccepted || m.now.Sub(w.MeasuredAt) > maxReportAge {
 			m.t.Fatalf("%s was assigned to %s, which is leaving, has another epoch or sent no recent report", t.Name, w.Name)
 		}
 		if sum := committedSize(w, t.Declared); exceeds(sum, w.Capacity) {
 			m.t.Fatalf("%s was assigned to %s: committed %+v of %+v", t.Name, w.Name, sum, w.Capacity)
 		}
-		w.Residents = append(w.Residents, Resident{Task: t, Committed: t.Declared, Started: m.now})
+		w.AssignedTasks = append(w.AssignedTasks, AssignedTask{Task: t, Committed: t.Declared, Started: m.now})
 		m.bumpVersion(w)
 	case Preempt:
 		w := m.find(d.Worker)
 		for _, v := range d.Victims {
-			i := slices.IndexFunc(w.Residents, func(r Resident) bool { return r.Name == v })
-			if i < 0 || w.Residents[i].Kind != KindBatch || w.Residents[i].Urgent || w.Residents[i].Stopping {
+			i := slices.IndexFunc(w.AssignedTasks, func(r AssignedTask) bool { return r.Name == v })
+			if i < 0 || w.AssignedTasks[i].Kind != KindBatch || w.AssignedTasks[i].Urgent || w.AssignedTasks[i].Stopping {
 				m.t.Fatalf("%s was preempted for %s, but is not a running batch task of normal urgency", v, t.Name)
 			}
-			w.Residents[i].Stopping, w.Residents[i].LastAction = true, m.now
+			w.AssignedTasks[i].Stopping, w.AssignedTasks[i].LastAction = true, m.now
 		}
 		m.bumpVersion(w)
-	case Never:
+	case Unschedulable:
 		for i := range m.workers {
 			if t.Declared.Fits(m.workers[i].Capacity) {
 				m.t.Fatalf("%s fits worker %s but got Never: %s", t.Name, m.workers[i].Name, d.Reason)
@@ -123,11 +123,11 @@
 	if m.lostWorkers[w.Name] {
 		return
 	}
-	w.ReportedAt = m.now
-	w.Residents = slices.Clone(w.Residents)
-	for i := range w.Residents {
-		w.Residents[i].Measured = m.actualSizes[w.Residents[i].Name]
-		w.Residents[i].Slowdown = 1 + rapid.Float64Range(0, 2).Draw(m.t, "slowdown")
+	w.MeasuredAt = m.now
+	w.AssignedTasks = slices.Clone(w.AssignedTasks)
+	for i := range w.AssignedTasks {
+		w.AssignedTasks[i].Measured = m.actualSizes[w.AssignedTasks[i].Name]
+		w.AssignedTasks[i].Slowdown = 1 + rapid.Float64Range(0, 2).Draw(m.t, "slowdown")
 	}
 	m.undelivered = append(m.undelivered, w)
 }
@@ -141,15 +141,15 @@
 	m.undelivered = slices.Delete(m.undelivered, i, i+1)
 	m.p.Observe(report, m.now)
 	w := m.find(report.Name)
-	if !report.ReportedAt.After(w.ReportedAt) {
+	if !report.MeasuredAt.After(w.MeasuredAt) {
 		return
 	}
-	w.ReportedAt = report.ReportedAt
-	for _, r := range report.Residents {
-		for j := range w.Residents {
-			if w.Residents[j].Name == r.Name {
-				w.Residents[j].Measured, w.Residents[j].Slowdown = r.Measured, r.Slowdown
-				w.Residents[j].Committed = Commit(r.Declared, r.Measured)
+	w.MeasuredAt = report.MeasuredAt
+	for _, r := range report.AssignedTasks {
+		for j := range w.AssignedTasks {
+			if w.AssignedTasks[j].Name == r.Name {
+				w.AssignedTasks[j].Measured, w.AssignedTasks[j].Slowdown = r.Measured, r.Slowdown
+				w.AssignedTasks[j].Committed = CommittedResources(r.Declared, r.Measured)
 			}
 		}
 	}
@@ -158,12 +158,12 @@
 
 func (m *shardModel) end() {
 	w := &m.workers[rapid.IntRange(0, len(m.workers)-1).Draw(m.t, "worker")]
-	if len(w.Residents) == 0 {
+	if len(w.AssignedTasks) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.Residents)-1).Draw(m.t, "resident")
-	m.p.TaskEnded(w.Name, w.Residents[i].Name, rapid.Bool().Draw(m.t, "failed"), m.now)
-	w.Residents = slices.Delete(w.Residents, i, i+1)
+	i := rapid.IntRange(0, len(w.AssignedTasks)-1).Draw(m.t, "resident")
+	m.p.TaskEnded(w.Name, w.AssignedTasks[i].Name, rapid.Bool().Draw(m.t, "failed"), m.now)
+	w.AssignedTasks = slices.Delete(w.AssignedTasks, i, i+1)
 	m.bumpVersion(w)
 }
 
@@ -171,15 +171,15 @@
 func (m *shardModel) toggleLost() {
 	w := &m.workers[rapid.IntRange(0, len(m.workers)-1).Draw(m.t, "worker")]
 	m.lostWorkers[w.Name] = !m.lostWorkers[w.Name]
-	w.Fenced = !m.lostWorkers[w.Name]
-	if w.Fenced {
-		w.Residents, w.ReportedAt = nil, m.now
+	w.EpochAccepted = !m.lostWorkers[w.Name]
+	if w.EpochAccepted {
+		w.AssignedTasks, w.MeasuredAt = nil, m.now
 	}
 	m.bumpVersion(w)
 }
 
 func (m *shardModel) relieve() {
-	for _, r := range m.p.Relieve(m.workers, m.now) {
+	for _, r := range m.p.Mitigate(m.workers, m.now) {
 		var worker, task string
 		switch a := r.(type) {
 		case Throttle:
@@ -190,13 +190,13 @@
 			worker, task = a.Worker, a.Task
 		}
 		w := m.find(worker)
-		for i := range w.Residents {
-			v := &w.Residents[i]
+		for i := range w.AssignedTasks {
+			v := &w.AssignedTasks[i]
 			if v.Name != task {
 				continue
 			}
 			if v.LastAction = m.now; v.Kind != KindBatch {
-				m.t.Fatalf("Relieve acted on %s, which is not a batch task", v.Name)
+				m.t.Fatalf("Mitigate acted on %s, which is not a batch task", v.Name)
 			}
 			if a, ok := r.(Throttle); ok {
 				v.Throttled = a.Limit
@@ -212,8 +212,8 @@
 func (m *shardModel) check(t *rapid.T) {
 	for i := range m.workers {
 		var sum configurator.Resources
-		for j := range m.workers[i].Residents {
-			sum = sum.Add(m.workers[i].Residents[j].Declared)
+		for j := range m.workers[i].AssignedTasks {
+			sum = sum.Add(m.workers[i].AssignedTasks[j].Declared)
 		}
 		if exceeds(sum, m.workers[i].Capacity) {
 			t.Fatalf("tasks on %s declare %+v, capacity is %+v", m.workers[i].Name, sum, m.workers[i].Capacity)
@@ -233,7 +233,7 @@
 			m.workers = append(m.workers, Worker{
 				Name: fmt.Sprintf("worker%d", i), Rack: fmt.Sprintf("rack%d", i/2), FailureDomain: "sampaloc",
 				Capacity:   configurator.Resources{Cores: 8, Memory: 32 << 30, Accelerators: i % 2},
-				ReportedAt: m.now, Fenced: true, Version: 1,
+				MeasuredAt: m.now, EpochAccepted: true, Version: 1,
 			})
 		}
 		t.Repeat(map[string]func(*rapid.T){
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -90,9 +90,9 @@
 	p.workerSummaries = nil // they hold sums for the teams of the earlier policy
 }
 
-// SetUsedElsewhere sets the capacity that each team's batch tasks hold in other shards. It counts
+// SetUsageInOtherShards sets the capacity that each team's batch tasks hold in other shards. It counts
 // towards the teams' quotas.
-func (p *Placer) SetUsedElsewhere(used map[string]configurator.Resources) {
+func (p *Placer) SetUsageInOtherShards(used map[string]configurator.Resources) {
 	p.usedElsewhere = used
 }
 
@@ -146,12 +146,12 @@
 func (p *Placer) checkFeasible(t Task, ws []Worker) Decision {
 	d := t.Declared
 	if !(d.Cores > 0) || d.Memory < 0 || d.Accelerators < 0 {
-		return Never{Rule: RuleInvalid, Reason: fmt.Sprintf("declared size of %s is not valid: cores %g, memory %d bytes, accelerators %d", t.Name, d.Cores, d.Memory, d.Accelerators), Nearest: smallestSize}
+		return Unschedulable{Rule: RuleInvalid, Reason: fmt.Sprintf("declared size of %s is not valid: cores %g, memory %d bytes, accelerators %d", t.Name, d.Cores, d.Memory, d.Accelerators), Nearest: smallestSize}
 	}
 	if quota, ok := p.policy.Quotas[t.Team]; ok && t.Kind == KindBatch && !d.Fits(quota) {
-		return Never{Rule: RuleQuota, Reason: fmt.Sprintf("declared size exceeds the whole quota of team %s", t.Team), Nearest: p.nearest(t, ws, minResources(d, quota))}
+		return Unschedulable{Rule: RuleQuota, Reason: fmt.Sprintf("declared size exceeds the whole quota of team %s", t.Team), Nearest: p.nearest(t, ws, minResources(d, quota))}
 	}
-	if len(ws) == 0 && len(p.policy.Fleet) == 0 {
+	if len(ws) == 0 && len(p.policy.WorkerSizes) == 0 {
 		return Wait{Rule: RuleNoWorker, Reason: "no worker is known"}
 	}
 	for i := range ws {
@@ -159,12 +159,12 @@
 			return nil
 		}
 	}
-	for _, c := range p.policy.Fleet {
+	for _, c := range p.policy.WorkerSizes {
 		if d.Fits(c) {
 			return Wait{Rule: RuleOtherShard, Reason: "no worker of this shard is large enough, but one of another shard is"}
 		}
 	}
-	return Never{Rule: RuleTooLarge, Reason: "declared size exceeds every worker's capacity", Nearest: p.nearest(t, ws, d)}
+	return Unschedulable{Rule: RuleTooLarge, Reason: "declared size exceeds every worker's capacity", Nearest: p.nearest(t, ws, d)}
 }
 
 // smallestSize is reported as the nearest size if the declared size is invalid.
@@ -191,7 +191,7 @@
 	for i := range ws {
 		consider(ws[i].Capacity)
 	}
-	for _, c := range p.policy.Fleet {
+	for _, c := range p.policy.WorkerSizes {
 		consider(c)
 	}
 	return best
--- a/internal/placer/placer_test.go
+++ b/internal/placer/placer_test.go
@@ -25,7 +25,7 @@
 func fleet(n int, capacity configurator.Resources) []Worker {
 	ws := make([]Worker, n)
 	for i := range ws {
-		ws[i] = Worker{Name: fmt.Sprintf("w%d", i), Rack: fmt.Sprintf("r%d", i/2), FailureDomain: "malolos", Capacity: capacity, ReportedAt: testStart, Fenced: true, Version: 1}
+		ws[i] = Worker{Name: fmt.Sprintf("w%d", i), Rack: fmt.Sprintf("r%d", i/2), FailureDomain: "malolos", Capacity: capacity, MeasuredAt: testStart, EpochAccepted: true, Version: 1}
 	}
 	return ws
 }
@@ -34,10 +34,10 @@
 	return Task{Name: name, Class: "dents", Team: "brass", Kind: KindBatch, Declared: configurator.Resources{Cores: cores, Memory: 1 << 30}}
 }
 
-func addResident(w *Worker, t Task) *Resident {
-	w.Residents = append(w.Residents, Resident{Task: t, Committed: t.Declared, Started: testStart.Add(-time.Minute)})
+func addTask(w *Worker, t Task) *AssignedTask {
+	w.AssignedTasks = append(w.AssignedTasks, AssignedTask{Task: t, Committed: t.Declared, Started: testStart.Add(-time.Minute)})
 	w.Version++
-	return &w.Residents[len(w.Residents)-1]
+	return &w.AssignedTasks[len(w.AssignedTasks)-1]
 }
 
 // assignedWorker returns the worker of an Assign, or an error that shows the other decision.
@@ -55,16 +55,16 @@
 	ws := fleet(2, capacity8)
 	big := batchTask("big", 12)
 	big.Team = "other"
-	n, ok := p.Place(big, ws, testStart).(Never)
+	n, ok := p.Place(big, ws, testStart).(Unschedulable)
 	is.True(ok)
 	is.Equal(n.Nearest, configurator.Resources{Cores: 8, Memory: 1 << 30})
-	n, ok = p.Place(batchTask("over-quota", 7), ws, testStart).(Never)
+	n, ok = p.Place(batchTask("over-quota", 7), ws, testStart).(Unschedulable)
 	is.True(ok)
 	is.Equal(n.Nearest.Cores, 6.0)
-	n, ok = p.Place(Task{Name: "invalid", Kind: KindBatch}, ws, testStart).(Never)
+	n, ok = p.Place(Task{Name: "invalid", Kind: KindBatch}, ws, testStart).(Unschedulable)
 	is.True(ok)
 	is.Equal(n.Rule, RuleInvalid)
-	p.Configure(Policy{Fleet: []configurator.Resources{{Cores: 64, Memory: 64 << 30}}}, testMeasures)
+	p.Configure(Policy{WorkerSizes: []configurator.Resources{{Cores: 64, Memory: 64 << 30}}}, testMeasures)
 	w, ok := p.Place(big, ws, testStart).(Wait)
 	is.True(ok) // another shard has a larger worker
 	is.Equal(w.Rule, RuleOtherShard)
@@ -76,10 +76,10 @@
 	is := is.New(t)
 	p := newPlacer(Policy{Quotas: map[string]configurator.Resources{"brass": {Cores: 6, Memory: 32 << 30}}})
 	ws := fleet(2, capacity8)
-	addResident(&ws[0], batchTask("a", 3))
+	addTask(&ws[0], batchTask("a", 3))
 	_, err := assignedWorker(p.Place(batchTask("b", 3), ws, testStart))
 	is.NoErr(err)
-	p.SetUsedElsewhere(map[string]configurator.Resources{"brass": {Cores: 1}})
+	p.SetUsageInOtherShards(map[string]configurator.Resources{"brass": {Cores: 1}})
 	w, ok := p.Place(batchTask("b", 3), ws, testStart).(Wait)
 	is.True(ok)
 	is.Equal(w.Rule, RuleQuota)
@@ -91,10 +91,10 @@
 func TestIneligibleWorkers(t *testing.T) {
 	for name, change := range map[string]func(w *Worker){
 		"leaving":            func(w *Worker) { w.Leaving = true },
-		"epoch not accepted": func(w *Worker) { w.Fenced = false },
+		"epoch not accepted": func(w *Worker) { w.EpochAccepted = false },
 		"quarantined":        func(w *Worker) { w.Quarantined = true },
-		"unresponsive":       func(w *Worker) { w.ReportedAt = testStart.Add(-maxReportAge - 1) },
-		"measured size":      func(w *Worker) { addResident(w, batchTask("x", 1)).Committed = configurator.Resources{Cores: 7.5} },
+		"unresponsive":       func(w *Worker) { w.MeasuredAt = testStart.Add(-maxReportAge - 1) },
+		"measured size":      func(w *Worker) { addTask(w, batchTask("x", 1)).Committed = configurator.Resources{Cores: 7.5} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -123,7 +123,7 @@
 			if ws[j].Name == name {
 				racks[ws[j].Rack]++
 				domains[ws[j].FailureDomain]++
-				addResident(&ws[j], task)
+				addTask(&ws[j], task)
 			}
 		}
 	}
@@ -135,7 +135,7 @@
 		is.True(name != ws[6].Name)
 		for j := range ws {
 			if ws[j].Name == name {
-				addResident(&ws[j], batchTask(fmt.Sprint("b", i), 1))
+				addTask(&ws[j], batchTask(fmt.Sprint("b", i), 1))
 			}
 		}
 	}
@@ -164,7 +164,7 @@
 	for i := range 2 {
 		now = now.Add(initialQuarantine << i)
 		for j := range ws {
-			ws[j].ReportedAt = now
+			ws[j].MeasuredAt = now
 		}
 		urgent := batchTask("urgent", 1)
 		urgent.Urgent = true
@@ -223,7 +223,7 @@
 			if i == 1 && j == 2 {
 				b.Attempt = 1
 			}
-			addResident(&ws[i], b)
+			addTask(&ws[i], b)
 		}
 	}
 	urgent := batchTask("urgent", 2)
@@ -232,7 +232,7 @@
 	is.True(ok)
 	is.Equal(d.Worker, "w1")
 	is.Equal(d.Victims, []string{"b1-2"})
-	ws[1].Residents[2].Stopping, ws[1].Residents[2].LastAction = true, testStart
+	ws[1].AssignedTasks[2].Stopping, ws[1].AssignedTasks[2].LastAction = true, testStart
 	ws[1].Version++
 	w, ok := p.Place(urgent, ws, testStart.Add(time.Second)).(Wait)
 	is.True(ok)
@@ -240,7 +240,7 @@
 	d, ok = p.Place(urgent, ws, testStart.Add(victimStopTimeout)).(Preempt)
 	is.True(ok) // the victim did not stop in time: one on the other worker is chosen
 	is.Equal(d.Worker, "w0")
-	ws[0].Residents = ws[0].Residents[1:]
+	ws[0].AssignedTasks = ws[0].AssignedTasks[1:]
 	ws[0].Version++
 	p.urgentHeadroom = urgentHeadroom{} // only the reservation keeps the capacity free
 	_, ok = p.Place(batchTask("other", 2), ws, testStart.Add(3*time.Second)).(Wait)
@@ -267,7 +267,7 @@
 			}
 			for j := range ws {
 				if ws[j].Name == name {
-					addResident(&ws[j], b)
+					addTask(&ws[j], b)
 				}
 			}
 		}
@@ -292,7 +292,7 @@
 	p := newPlacer(Policy{})
 	ws := fleet(1, capacity8)
 	for i := range 4 {
-		addResident(&ws[0], batchTask(fmt.Sprint("b", i), 2))
+		addTask(&ws[0], batchTask(fmt.Sprint("b", i), 2))
 	}
 	urgent := batchTask("urgent", 2)
 	urgent.Urgent = true
@@ -300,8 +300,8 @@
 	is.True(ok)
 	_, ok = p.Place(urgent, ws, testStart.Add(time.Second)).(Wait)
 	is.True(ok) // the victim is still there, even if the caller did not mark it
-	ws[0].Residents = ws[0].Residents[1:]
-	ws[0].Residents[0].Committed.Cores = 3
+	ws[0].AssignedTasks = ws[0].AssignedTasks[1:]
+	ws[0].AssignedTasks[0].Committed.Cores = 3
 	ws[0].Version++
 	d, ok := p.Place(urgent, ws, testStart.Add(time.Second)).(Preempt)
 	is.True(ok)
@@ -318,7 +318,7 @@
 	ws := fleet(20, capacity8)
 	for i := range ws {
 		for j := range 8 {
-			addResident(&ws[i], batchTask(fmt.Sprintf("b%d-%d", i, j), 1))
+			addTask(&ws[i], batchTask(fmt.Sprintf("b%d-%d", i, j), 1))
 		}
 	}
 	stopTimes := map[string]time.Time{}
@@ -331,28 +331,28 @@
 		now := submitted
 		for ; err != nil && now.Sub(submitted) <= 6100*time.Millisecond-outsidePlacer; now = now.Add(100 * time.Millisecond) {
 			for j := range ws {
-				ws[j].ReportedAt = now
+				ws[j].MeasuredAt = now
 				ws[j].Version++
-				kept := ws[j].Residents[:0]
-				for _, r := range ws[j].Residents {
+				kept := ws[j].AssignedTasks[:0]
+				for _, r := range ws[j].AssignedTasks {
 					if at, ok := stopTimes[r.Name]; !ok || now.Before(at) {
 						kept = append(kept, r)
 					}
 				}
-				ws[j].Residents = kept
+				ws[j].AssignedTasks = kept
 			}
 			d := p.Place(urgent, ws, now)
 			var name string
 			name, err = assignedWorker(d)
 			for j := range ws {
 				if err == nil && ws[j].Name == name {
-					addResident(&ws[j], urgent)
+					addTask(&ws[j], urgent)
 				}
 				if preempt, ok := d.(Preempt); ok && preempt.Worker == ws[j].Name {
 					for _, v := range preempt.Victims {
-						for k := range ws[j].Residents {
-							if ws[j].Residents[k].Name == v {
-								ws[j].Residents[k].Stopping, ws[j].Residents[k].LastAction = true, now
+						for k := range ws[j].AssignedTasks {
+							if ws[j].AssignedTasks[k].Name == v {
+								ws[j].AssignedTasks[k].Stopping, ws[j].AssignedTasks[k].LastAction = true, now
 								if preempted++; j%5 != 0 {
 									stopTimes[v] = now.Add(PreemptGrace)
 								}
@@ -377,7 +377,7 @@
 	ws := fleet(1, capacity8)
 	_, err := assignedWorker(p.Place(batchTask("a", 8), ws, testStart))
 	is.NoErr(err)
-	addResident(&ws[0], batchTask("a", 8))
+	addTask(&ws[0], batchTask("a", 8))
 	ws[0].Version--
 	_, ok := p.Place(batchTask("b", 1), ws, testStart).(Wait)
 	is.True(ok)
@@ -388,8 +388,8 @@
 func TestBaselinePolicies(t *testing.T) {
 	is := is.New(t)
 	ws := fleet(3, capacity8)
-	addResident(&ws[1], batchTask("a", 5))
-	addResident(&ws[2], batchTask("b", 7.5))
+	addTask(&ws[1], batchTask("a", 5))
+	addTask(&ws[2], batchTask("b", 7.5))
 	name, err := assignedWorker(newPlacer(Policy{Placement: configurator.PlacementFirstFit}).Place(batchTask("c", 1), ws, testStart))
 	is.NoErr(err)
 	is.Equal(name, "w0")
--- a/internal/placer/preempt.go
+++ b/internal/placer/preempt.go
@@ -49,8 +49,8 @@
 		if ws[i].Name != r.worker {
 			continue
 		}
-		for j := range ws[i].Residents {
-			if v := &ws[i].Residents[j]; v.Stopping || slices.Contains(r.victims, v.Name) {
+		for j := range ws[i].AssignedTasks {
+			if v := &ws[i].AssignedTasks[j]; v.Stopping || slices.Contains(r.victims, v.Name) {
 				return true
 			}
 		}
@@ -76,7 +76,7 @@
 }
 
 // victimCost returns the cost of stopping r, weighted by the operator's measures.
-func (p *Placer) victimCost(r *Resident, now time.Time) float64 {
+func (p *Placer) victimCost(r *AssignedTask, now time.Time) float64 {
 	lostShare := min(1, float64(now.Sub(r.Started))/float64(fullLossRunTime))
 	evictionFactor := 1 + 0.5*float64(max(0, r.Attempt-1)) // a job that was evicted before costs more
 	// The constant keeps the cost above 0 if the weights are 0, so that fewer victims are
@@ -141,7 +141,7 @@
 	w := &ws[best.worker]
 	var names []string
 	for _, v := range best.victims {
-		names = append(names, w.Residents[v].Name)
+		names = append(names, w.AssignedTasks[v].Name)
 	}
 	p.reservations = append(p.reservations, reservation{t.Name, w.Name, s.sizeOn(best.worker), now, names})
 	if len(best.victims) == 0 {
@@ -150,7 +150,7 @@
 	d := Preempt{Worker: w.Name, Victims: names, Rule: RuleCheapestVictims}
 	for _, c := range plans {
 		cw := &ws[c.worker]
-		d.Candidates = append(d.Candidates, Candidate{Name: cw.Name, Free: cw.Capacity.Sub(p.workerSummaries[c.worker].committed), Score: c.cost, Age: now.Sub(cw.ReportedAt)})
+		d.Candidates = append(d.Candidates, Candidate{Name: cw.Name, Free: cw.Capacity.Sub(p.workerSummaries[c.worker].committed), Score: c.cost, Age: now.Sub(cw.MeasuredAt)})
 	}
 	return d
 }
@@ -182,8 +182,8 @@
 	}
 	p.preemptibles = p.preemptibles[:0]
 	cheapest := math.Inf(1)
-	for i := range w.Residents {
-		r := &w.Residents[i]
+	for i := range w.AssignedTasks {
+		r := &w.AssignedTasks[i]
 		if r.Stopping {
 			if s.now.Sub(r.LastAction) > victimStopTimeout {
 				// The worker does not stop its tasks within victimStopTimeout.
@@ -259,7 +259,7 @@
 }
 
 // freedSize returns the capacity that the end of r frees under the placement policy.
-func (p *Placer) freedSize(r *Resident) configurator.Resources {
+func (p *Placer) freedSize(r *AssignedTask) configurator.Resources {
 	if p.baseline() {
 		return r.Declared
 	}
--- a/internal/placer/search.go
+++ b/internal/placer/search.go
@@ -164,9 +164,9 @@
 	switch {
 	case w.Leaving:
 		return rejectLeaving
-	case !w.Fenced:
+	case !w.EpochAccepted:
 		return rejectEpoch
-	case s.now.Sub(w.ReportedAt) > maxReportAge:
+	case s.now.Sub(w.MeasuredAt) > maxReportAge:
 		return rejectStale
 	case s.p.failures.excludes(w, &s.t, s.now):
 		return rejectQuarantine
@@ -200,11 +200,11 @@
 func (s *search) verifyFit(i int) bool {
 	w := &s.ws[i]
 	total := s.t.Declared
-	for j := range w.Residents {
+	for j := range w.AssignedTasks {
 		if s.baseline() {
-			total = total.Add(w.Residents[j].Declared)
+			total = total.Add(w.AssignedTasks[j].Declared)
 		} else {
-			total = total.Add(s.p.committedSize(&w.Residents[j]))
+			total = total.Add(s.p.committedSize(&w.AssignedTasks[j]))
 		}
 	}
 	return total.Fits(w.Capacity)
@@ -301,7 +301,7 @@
 	for i := range out {
 		r := &s.ranked[i]
 		w := &s.ws[r.worker]
-		out[i] = Candidate{Name: w.Name, Free: r.free, Score: r.score, Interference: r.interference, FailureRate: r.failureRate, Age: s.now.Sub(w.ReportedAt)}
+		out[i] = Candidate{Name: w.Name, Free: r.free, Score: r.score, Interference: r.interference, FailureRate: r.failureRate, Age: s.now.Sub(w.MeasuredAt)}
 	}
 	return out
 }
--- a/internal/placer/summary.go
+++ b/internal/placer/summary.go
@@ -42,7 +42,7 @@
 
 // committedSize returns the capacity that counts as taken by r. A task without a measurement counts
 // with the size expected of its class.
-func (p *Placer) committedSize(r *Resident) configurator.Resources {
+func (p *Placer) committedSize(r *AssignedTask) configurator.Resources {
 	out := r.Committed.Max(r.Declared)
 	if p.baseline() || r.Measured != (configurator.Resources{}) {
 		return out
@@ -51,7 +51,7 @@
 }
 
 // usedCores returns the measured cores of r, or else the declared cores within its throttle.
-func (r *Resident) usedCores() float64 {
+func (r *AssignedTask) usedCores() float64 {
 	if r.Measured.Cores > 0 {
 		return r.Measured.Cores
 	}
@@ -81,8 +81,8 @@
 		rack: intern(p.racks, w.Rack), domain: intern(p.domains, w.FailureDomain),
 		classes: s.classes[:0], teams: s.teams[:0], spreads: s.spreads[:0],
 	}
-	for i := range w.Residents {
-		r := &w.Residents[i]
+	for i := range w.AssignedTasks {
+		r := &w.AssignedTasks[i]
 		committed := p.committedSize(r)
 		s.committed = s.committed.Add(committed)
 		s.declared = s.declared.Add(r.Declared)
@@ -101,7 +101,7 @@
 	}
 }
 
-func (s *workerSummary) addClass(class int, r *Resident, capacity float64) {
+func (s *workerSummary) addClass(class int, r *AssignedTask, capacity float64) {
 	j := 0
 	for j < len(s.classes) && s.classes[j].class != class {
 		j++
--- a/internal/placer/types.go
+++ b/internal/placer/types.go
@@ -24,8 +24,8 @@
 	Attempt  int    // number of this attempt; 0 or 1 is the first
 }
 
-// Resident is a task that holds capacity of a worker.
-type Resident struct {
+// AssignedTask is a task that holds capacity of a worker.
+type AssignedTask struct {
 	Task
 	Committed     configurator.Resources // result of Commit; a dimension below Declared counts as Declared
 	Measured      configurator.Resources // usage at Worker.ReportedAt, zero if unknown
@@ -44,11 +44,11 @@
 	Rack          string
 	FailureDomain string
 	Capacity      configurator.Resources
-	Residents     []Resident
-	ReportedAt    time.Time // measurement time of the last report, in the caller's clock
+	AssignedTasks []AssignedTask
+	MeasuredAt    time.Time // measurement time of the last report, in the caller's clock
 	Leaving       bool
 	Quarantined   bool // by the caller; the placer quarantines workers itself as well
-	Fenced        bool // the worker has accepted the owner's epoch; otherwise it gets no work
+	EpochAccepted bool // the worker has accepted the owner's epoch; otherwise it gets no work
 
 	// Version changes whenever any other field but ReportedAt changes. Place reuses sums
 	// over Residents while it stays the same; 0 recomputes them in each call. The chosen
@@ -65,9 +65,9 @@
 	// Quotas bounds the capacity that each team's batch tasks hold in all shards together. A
 	// dimension of 0 forbids its use; a team without an entry has no bound.
 	Quotas map[string]configurator.Resources
-	// Fleet lists the distinct capacities of the workers of all shards. A task that fits one
+	// WorkerSizes lists the distinct capacities of the workers of all shards. A task that fits one
 	// of them but no worker of this shard waits with RuleOtherShard.
-	Fleet []configurator.Resources
+	WorkerSizes []configurator.Resources
 	// SlowdownBound is the slowdown above which a service counts as degraded. If it is not
 	// above 1, it is derived from the measures.
 	SlowdownBound float64
@@ -126,8 +126,8 @@
 	Reason string
 }
 
-// Never reports that the task can never run as declared.
-type Never struct {
+// Unschedulable reports that the task can never run as declared.
+type Unschedulable struct {
 	Rule    Rule
 	Reason  string
 	Nearest configurator.Resources // nearest size that would fit
@@ -142,13 +142,13 @@
 	Candidates []Candidate // workers considered, cheapest first, at most MaxCandidates
 }
 
-func (Assign) decision()  {}
-func (Wait) decision()    {}
-func (Never) decision()   {}
-func (Preempt) decision() {}
+func (Assign) decision()        {}
+func (Wait) decision()          {}
+func (Unschedulable) decision() {}
+func (Preempt) decision()       {}
 
-// Relief is one of Throttle, Checkpoint and Stop.
-type Relief interface{ relief() }
+// Mitigation is one of Throttle, Checkpoint and Stop.
+type Mitigation interface{ mitigation() }
 
 // Throttle limits a batch task to a share of its declared cores; 1 removes the limit.
 type Throttle struct {
@@ -181,9 +181,9 @@
 	Candidates []Candidate
 }
 
-func (Throttle) relief()   {}
-func (Checkpoint) relief() {}
-func (Stop) relief()       {}
+func (Throttle) mitigation()   {}
+func (Checkpoint) mitigation() {}
+func (Stop) mitigation()       {}
 
 // Margins of Commit: shares by which usage may grow until the next report arrives. Too few cores
 // slow tasks down, but too little memory kills them, so memory has the larger margin.
@@ -192,9 +192,9 @@
 	memoryMarginShare = 0.10
 )
 
-// Commit returns the capacity that counts as taken by a task: in each dimension the larger of its
+// CommittedResources returns the capacity that counts as taken by a task: in each dimension the larger of its
 // declared size and its measured size plus a margin.
-func Commit(declared, measured configurator.Resources) configurator.Resources {
+func CommittedResources(declared, measured configurator.Resources) configurator.Resources {
 	measured.Cores *= 1 + coreMarginShare
 	measured.Memory += int64(float64(measured.Memory) * memoryMarginShare)
 	return declared.Max(measured)
--- a/internal/proprietor/claim.go
+++ b/internal/proprietor/claim.go
@@ -35,7 +35,7 @@
 func newRandom(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 0)) }
 
 // watchOwnDomain watches the journals of this failure domain.
-func (p *Proprietor) watchOwnDomain(ctx context.Context) {
+func (p *Owner) watchOwnDomain(ctx context.Context) {
 	prefix := journalKey(p.settings.FailureDomain) + "/"
 	for ctx.Err() == nil {
 		after, ok := p.loadJournals(ctx, prefix, p.settings.FailureDomain)
@@ -57,7 +57,7 @@
 
 // pollPredecessors reads the journals of the failure domains whose jobs this one may have to
 // import. Six reads per TTL of the lease for running tasks notice a renewal in time.
-func (p *Proprietor) pollPredecessors(ctx context.Context) {
+func (p *Owner) pollPredecessors(ctx context.Context) {
 	for {
 		p.mutex.Lock()
 		c, every := p.config, p.runningTTL/6
@@ -78,7 +78,7 @@
 
 // loadJournals reads all journals of a failure domain. ok is false if the store did not
 // answer or there is no configuration yet.
-func (p *Proprietor) loadJournals(ctx context.Context, prefix, domain string) (revision uint64, ok bool) {
+func (p *Owner) loadJournals(ctx context.Context, prefix, domain string) (revision uint64, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	entries, revision, err := p.settings.Store.List(ctx, prefix)
@@ -105,7 +105,7 @@
 }
 
 // cacheEntry updates the cached journal from a store entry.
-func (p *Proprietor) cacheEntry(e storer.Entry) {
+func (p *Owner) cacheEntry(e storer.Entry) {
 	shard := e.Key[len(journalKey("")):]
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -134,7 +134,7 @@
 
 // rejectJournal logs once that a journal cannot be decoded, and excludes the shard from
 // claims, so that the stored value is not overwritten.
-func (p *Proprietor) rejectJournal(shard string, err error) {
+func (p *Owner) rejectJournal(shard string, err error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	k := p.journals[shard]
@@ -145,7 +145,7 @@
 	p.rejectJournalLocked(k, shard, err)
 }
 
-func (p *Proprietor) rejectJournalLocked(k *cachedJournal, shard string, err error) {
+func (p *Owner) rejectJournalLocked(k *cachedJournal, shard string, err error) {
 	if !k.undecodable {
 		p.settings.Logger.Error("journal rejected", "Shard", shard, "Error", err)
 	}
@@ -153,7 +153,7 @@
 }
 
 // claimLoop claims the shards of this failure domain whose owner's lease has ended.
-func (p *Proprietor) claimLoop(ctx context.Context) {
+func (p *Owner) claimLoop(ctx context.Context) {
 	for sleep(ctx, claimInterval) {
 		for _, name := range p.selectClaims(time.Now()) {
 			p.background(func(ctx context.Context) { p.claim(ctx, name) })
@@ -163,7 +163,7 @@
 
 // selectClaims returns the shards that this host may claim now and marks their claims as in
 // progress.
-func (p *Proprietor) selectClaims(now time.Time) []string {
+func (p *Owner) selectClaims(now time.Time) []string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.config == nil || p.stopping {
@@ -192,7 +192,7 @@
 // is known to have ended only if the owner needs the promises of this host, that is, if the
 // journal lists it as a successor. A host that is not listed may claim the shard if neither
 // the owner nor any listed successor is configured any more, because nobody else could.
-func (p *Proprietor) mayClaimAfter(owner string, successors []string) bool {
+func (p *Owner) mayClaimAfter(owner string, successors []string) bool {
 	if owner == "" || owner == p.settings.Host || len(successors) == 0 || slices.Contains(successors, p.settings.Host) {
 		return true
 	}
@@ -204,7 +204,7 @@
 // claimDelay returns how long this host waits before it claims a shard: one
 // claimDelayPerRank for each host of the failure domain, other than the last owner, that has
 // a higher hash with the shard's name.
-func (p *Proprietor) claimDelay(shard, owner string) time.Duration {
+func (p *Owner) claimDelay(shard, owner string) time.Duration {
 	weight := func(host string) uint64 { return xxhash.Sum64String(host + "\x00" + shard) }
 	mine, rank := weight(p.settings.Host), 0
 	for _, h := range p.config.EntryHosts {
@@ -216,7 +216,7 @@
 }
 
 // claim claims a shard by one compare-and-swap of its journal.
-func (p *Proprietor) claim(ctx context.Context, shard string) {
+func (p *Owner) claim(ctx context.Context, shard string) {
 	defer p.clearClaimInProgress(shard)
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	records, err := p.settings.Store.Get(call, jobHistoryKey(shard))
@@ -238,7 +238,7 @@
 	j.Renewal++
 	j.Sequence++
 	j.Successors, j.RunningSuccessors = p.successors(p.config)
-	p.placingSuccessor.Claiming(shard)
+	p.placingSuccessor.ClaimStarted(shard)
 	p.mutex.Unlock()
 	revision, won, sentAt := p.compareAndSwapJournal(ctx, &j, expect)
 	p.claimResolved(&j, revision, won)
@@ -250,26 +250,26 @@
 // claimResolved records that the outcome of a claim or import is known. If it succeeded, the
 // written journal is cached at once, so that this host makes no further promise to the
 // earlier owner.
-func (p *Proprietor) claimResolved(j *scheduler.Journal, revision uint64, won bool) {
+func (p *Owner) claimResolved(j *scheduler.Journal, revision uint64, won bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if won {
 		p.cacheJournalLocked(p.journals[j.Shard], j, revision, time.Now())
 	}
-	p.placingSuccessor.Resolved(j.Shard)
-	p.runningSuccessor.Resolved(j.Shard)
+	p.placingSuccessor.ClaimResolved(j.Shard)
+	p.runningSuccessor.ClaimResolved(j.Shard)
 }
 
 // cacheJournalLocked caches a version of a journal. The caller holds mutex.
-func (p *Proprietor) cacheJournalLocked(k *cachedJournal, j *scheduler.Journal, revision uint64, now time.Time) {
+func (p *Owner) cacheJournalLocked(k *cachedJournal, j *scheduler.Journal, revision uint64, now time.Time) {
 	k.journal, k.revision, k.undecodable = *j, revision, false
 	v := keeper.Version{Epoch: j.Epoch, Renewal: j.Renewal, Writer: j.Writer, Sequence: j.Sequence}
-	p.placingSuccessor.Seen(j.Shard, v, now)
-	p.runningSuccessor.Seen(j.Shard, v, now)
+	p.placingSuccessor.RecordVersion(j.Shard, v, now)
+	p.runningSuccessor.RecordVersion(j.Shard, v, now)
 }
 
 // clearClaimInProgress allows the next claim or import of a shard.
-func (p *Proprietor) clearClaimInProgress(shard string) {
+func (p *Owner) clearClaimInProgress(shard string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.journals[shard].claimInProgress = false
@@ -277,7 +277,7 @@
 
 // compareAndSwapJournal writes the journal of a shard that this host does not own and reports
 // whether the write took effect. If the answer is lost, it reads the journal back.
-func (p *Proprietor) compareAndSwapJournal(ctx context.Context, j *scheduler.Journal, expect uint64) (revision uint64, won bool, sentAt time.Time) {
+func (p *Owner) compareAndSwapJournal(ctx context.Context, j *scheduler.Journal, expect uint64) (revision uint64, won bool, sentAt time.Time) {
 	value, err := j.Encode()
 	if err != nil {
 		return 0, false, time.Time{}
@@ -310,7 +310,7 @@
 	return 0, false, sentAt
 }
 
-func (p *Proprietor) getEntry(ctx context.Context, key string) (storer.Entry, error) {
+func (p *Owner) getEntry(ctx context.Context, key string) (storer.Entry, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	e, err := p.settings.Store.Get(ctx, key)
@@ -320,14 +320,14 @@
 
 // refreshJournal reads the stored journal after another host's write won the
 // compare-and-swap.
-func (p *Proprietor) refreshJournal(ctx context.Context, key string) {
+func (p *Owner) refreshJournal(ctx context.Context, key string) {
 	if entry, err := p.getEntry(ctx, key); err == nil {
 		p.cacheEntry(entry)
 	}
 }
 
 // loseShard ends the ownership of a shard whose journal another host has written.
-func (p *Proprietor) loseShard(o *ownedShard, j scheduler.Journal) {
+func (p *Owner) loseShard(o *ownedShard, j scheduler.Journal) {
 	p.recordOwnerChange(o.name, "ClaimedByOther", fmt.Sprintf("epoch %d superseded, new owner %q", o.epoch, cmp.Or(j.Owner, j.MovedTo)))
 	o.mutex.Lock()
 	o.lost = true
@@ -337,9 +337,9 @@
 }
 
 // removeIfReleased removes a shard once the stored journal says that this host released it.
-func (p *Proprietor) removeIfReleased(o *ownedShard) {
+func (p *Owner) removeIfReleased(o *ownedShard) {
 	o.mutex.Lock()
-	released := o.shard.Released()
+	released := o.shard.Ended()
 	if released {
 		o.lost = true
 	}
@@ -350,7 +350,7 @@
 }
 
 // removeShard removes a shard from the owned ones and stops its goroutines.
-func (p *Proprietor) removeShard(o *ownedShard) {
+func (p *Owner) removeShard(o *ownedShard) {
 	p.mutex.Lock()
 	if p.shards[o.name] == o {
 		delete(p.shards, o.name)
@@ -361,7 +361,7 @@
 
 // importJobs imports the jobs of shards in unresponsive failure domains into shards owned
 // here, and completes imports that were begun earlier.
-func (p *Proprietor) importJobs(ctx context.Context) {
+func (p *Owner) importJobs(ctx context.Context) {
 	p.mutex.Lock()
 	now := time.Now()
 	type shardImport struct {
@@ -386,7 +386,7 @@
 			}
 			k.claimInProgress = true
 			if k.journal.MovedTo == "" {
-				p.runningSuccessor.Claiming(name)
+				p.runningSuccessor.ClaimStarted(name)
 			}
 			imports = append(imports, shardImport{k.journal, k.revision, target})
 		}
@@ -399,14 +399,14 @@
 
 // mayImport reports whether this host may import the jobs of a shard, by the same reasoning as
 // mayClaimAfter: successors are those that the journal lists for the lease for running tasks.
-func (p *Proprietor) mayImport(successors []string) bool {
+func (p *Owner) mayImport(successors []string) bool {
 	return p.mayClaimAfter("", nil) && (len(successors) == 0 || slices.Contains(successors, p.settings.Host) ||
 		!slices.ContainsFunc(p.config.EntryHosts, func(h configurator.EntryHost) bool { return slices.Contains(successors, h.Name) }))
 }
 
 // importShard marks a journal as moved, which ends its owner's rights, and adds its jobs to
 // the target shard.
-func (p *Proprietor) importShard(ctx context.Context, j scheduler.Journal, expect uint64, target *ownedShard) {
+func (p *Owner) importShard(ctx context.Context, j scheduler.Journal, expect uint64, target *ownedShard) {
 	defer p.clearClaimInProgress(j.Shard)
 	if j.MovedTo == "" {
 		j.MovedTo, j.Owner, j.Writer = target.name, "", p.settings.Incarnation
@@ -424,7 +424,7 @@
 
 // clearImportedJobs removes the imported jobs from a moved journal, so that the shard can be
 // claimed again.
-func (p *Proprietor) clearImportedJobs(ctx context.Context, shard, target string) {
+func (p *Owner) clearImportedJobs(ctx context.Context, shard, target string) {
 	entry, err := p.getEntry(ctx, journalKey(shard))
 	if err != nil {
 		return // the next import of the same jobs has no effect and calls this again
@@ -433,7 +433,7 @@
 	if err != nil || j.MovedTo != target {
 		return
 	}
-	j.Empty(p.settings.Incarnation)
+	j.ClearImported(p.settings.Incarnation)
 	if revision, won, _ := p.compareAndSwapJournal(ctx, &j, entry.Revision); won {
 		value, err := j.Encode()
 		if err == nil {
@@ -444,7 +444,7 @@
 
 // renewOrphanedInstances renews the leases of service instances whose shard has no responsive
 // owner. It needs no ownership lease, because duplicate instances are harmless.
-func (p *Proprietor) renewOrphanedInstances(ctx context.Context) {
+func (p *Owner) renewOrphanedInstances(ctx context.Context) {
 	for sleep(ctx, orphanRenewalInterval) {
 		for _, w := range p.orphanedWorkers(time.Now()) {
 			p.renewInstances(ctx, w)
@@ -454,7 +454,7 @@
 
 // orphanedWorkers returns the workers of the shards of this failure domain whose owner has
 // sent no heartbeat for orphanTimeout.
-func (p *Proprietor) orphanedWorkers(now time.Time) []configurator.Worker {
+func (p *Owner) orphanedWorkers(now time.Time) []configurator.Worker {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.config == nil {
@@ -473,7 +473,7 @@
 }
 
 // renewInstances renews the leases of the service instances on a worker that end soon.
-func (p *Proprietor) renewInstances(ctx context.Context, w configurator.Worker) {
+func (p *Owner) renewInstances(ctx context.Context, w configurator.Worker) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	r, err := p.settings.Workers.Report(ctx, w.Address)
@@ -485,7 +485,7 @@
 		if t.Kind == commander.KindService && t.State.Active() && t.LeaseEnd-r.Clock < orphanRenewalThreshold {
 			cs = append(cs, commander.Command{
 				Verb: commander.VerbRenew, Task: t.Task, Attempt: t.Attempt, Kind: t.Kind, Class: t.Class, Service: t.Service,
-				LeaseEnd: r.Clock + scheduler.ServiceLease, NotAfter: r.Clock + callTimeout,
+				LeaseEnd: r.Clock + scheduler.ServiceLeaseDuration, NotAfter: r.Clock + callTimeout,
 			})
 		}
 	}
--- a/internal/proprietor/fake_test.go
+++ b/internal/proprietor/fake_test.go
@@ -56,7 +56,7 @@
 
 type fakeHost struct {
 	name, domain string
-	proprietor   *proprietor.Proprietor
+	owner        *proprietor.Owner
 	stop         func()
 	paused       bool
 	startedAt    time.Time
@@ -154,7 +154,7 @@
 	if err != nil {
 		panic(err)
 	}
-	h.proprietor = p
+	h.owner = p
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	h.stop = sync.OnceFunc(func() {
@@ -192,7 +192,7 @@
 func (cl *cluster) exchangeHeartbeats(ctx context.Context, h *fakeHost) {
 	for ctx.Err() == nil {
 		sentAt := time.Now()
-		m := messenger.Heartbeat{Identity: messenger.Identity{Host: h.name, FailureDomain: h.domain}, Claims: h.proprietor.Claims()}
+		m := messenger.Heartbeat{Identity: messenger.Identity{Host: h.name, FailureDomain: h.domain}, Claims: h.owner.Claims()}
 		cl.mutex.Lock()
 		for _, c := range m.Claims {
 			cl.recordActing(h.name, c)
@@ -205,12 +205,12 @@
 		}
 		cl.mutex.Unlock()
 		for _, o := range peers {
-			a := messenger.HeartbeatAnswer{Identity: messenger.Identity{Host: o.name}, Promises: o.proprietor.Promise(m)}
+			a := messenger.HeartbeatAnswer{Identity: messenger.Identity{Host: o.name}, Promises: o.owner.AnswerClaims(m)}
 			cl.mutex.Lock()
 			lost := cl.cutLinks[o.name+">"+h.name]
 			cl.mutex.Unlock()
 			if !lost {
-				h.proprietor.Answered(sentAt, a)
+				h.owner.RecordPromises(sentAt, a)
 			}
 		}
 		select {
@@ -601,7 +601,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	for _, h := range hs {
-		if a, err := h.proprietor.Submit(ctx, scheduler.JobSpec{Name: name, Class: "repair", Duration: duration}); err == nil {
+		if a, err := h.owner.Submit(ctx, scheduler.JobSpec{Name: name, Class: "repair", Duration: duration}); err == nil {
 			return a, true
 		}
 	}
@@ -632,7 +632,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	for _, h := range hs {
-		a, err := h.proprietor.Cancel(ctx, name)
+		a, err := h.owner.Cancel(ctx, name)
 		if err == nil && a.Accepted && (a.Status.State == scheduler.JobCanceling || a.Status.State == scheduler.JobCancelled) {
 			cl.locked(func() { cl.cancelledJobs[name] = true })
 		}
--- a/internal/proprietor/load_test.go
+++ b/internal/proprietor/load_test.go
@@ -102,7 +102,7 @@
 		}
 		time.Sleep(10 * time.Second)
 		for round := range 9 {
-			o := cl.hosts["b0"].proprietor.Owner("a/0")
+			o := cl.hosts["b0"].owner.Owner("a/0")
 			f := []fault{kill(o), pause(o), isolate(o, []string{o}, "")}[round%3]
 			f.begin(cl)
 			cl.locked(func() { cl.answersToLose = round % 2 })
@@ -151,7 +151,7 @@
 		checkViolations(t, cl)
 		var states []scheduler.JobState
 		for _, h := range cl.hosts {
-			for _, j := range h.proprietor.List(allJobs) {
+			for _, j := range h.owner.List(allJobs) {
 				states = append(states, j.State)
 			}
 		}
--- a/internal/proprietor/mechanism_test.go
+++ b/internal/proprietor/mechanism_test.go
@@ -31,7 +31,7 @@
 			s.startHost(h.Name)
 		}
 		time.Sleep(6 * time.Second)
-		s.owner = s.hosts["a0"].proprietor.Owner("a/0")
+		s.owner = s.hosts["a0"].owner.Owner("a/0")
 		s.standby = map[string]string{"a0": "a1", "a1": "a0"}[s.owner]
 		s.submitHome(jobs, duration)
 		time.Sleep(14 * time.Second)
@@ -42,7 +42,7 @@
 
 // submitHome concurrently submits jobs whose home shard is a/0.
 func (s *testCluster) submitHome(jobs int, duration time.Duration) {
-	p := s.hosts[s.owner].proprietor
+	p := s.hosts[s.owner].owner
 	var all sync.WaitGroup
 	for i := 0; jobs > 0; i++ {
 		name := fmt.Sprint("job", len(s.jobNames), "-", i)
@@ -75,7 +75,7 @@
 	runOnCluster(t, 5, 300*time.Second, func(s *testCluster) {
 		s.setHostPartitioned(s.owner, true, s.standby, "store", "wa1")
 		time.Sleep(8 * time.Second)
-		s.is.Equal(s.hosts[s.standby].proprietor.Owner("a/0"), s.standby)
+		s.is.Equal(s.hosts[s.standby].owner.Owner("a/0"), s.standby)
 		s.setHostPartitioned(s.standby, true, "wa0")
 		time.Sleep(70 * time.Second)
 	})
@@ -117,19 +117,19 @@
 		s.setIsolated([]string{"a0", "a1", "wa0", "wa1"}, "a", true)
 		time.Sleep(120 * time.Second)
 		running := 0
-		for _, j := range s.hosts["b0"].proprietor.List(allJobs) {
+		for _, j := range s.hosts["b0"].owner.List(allJobs) {
 			s.is.Equal(j.Shard, "b/0")
 			running++
 		}
-		for _, j := range s.hosts["b1"].proprietor.List(allJobs) {
+		for _, j := range s.hosts["b1"].owner.List(allJobs) {
 			s.is.Equal(j.Shard, "b/0")
 			running++
 		}
 		s.is.Equal(running, 4) // b has imported the jobs
 		s.setIsolated([]string{"a0", "a1", "wa0", "wa1"}, "a", false)
 		time.Sleep(20 * time.Second)
-		s.is.True(s.hosts["b0"].proprietor.Owner("a/0") != "") // the shard is claimed again after its jobs were imported
-		a, err := s.hosts[s.hosts["a0"].proprietor.Owner("a/0")].proprietor.Submit(context.Background(), scheduler.JobSpec{Name: s.jobNames[0], Class: "repair"})
+		s.is.True(s.hosts["b0"].owner.Owner("a/0") != "") // the shard is claimed again after its jobs were imported
+		a, err := s.hosts[s.hosts["a0"].owner.Owner("a/0")].owner.Submit(context.Background(), scheduler.JobSpec{Name: s.jobNames[0], Class: "repair"})
 		s.is.NoErr(err)
 		s.is.True(!a.Accepted) // b owns the job now
 		time.Sleep(300 * time.Second)
@@ -149,7 +149,7 @@
 		s.submitHome(4, 5*time.Second)
 		time.Sleep(30 * time.Second)
 		s.is.Equal(s.finishedJobs(), 6)
-		s.is.Equal(s.hosts["b0"].proprietor.Owner("a/0"), s.owner) // the owner has not changed
+		s.is.Equal(s.hosts["b0"].owner.Owner("a/0"), s.owner) // the owner has not changed
 	})
 }
 
@@ -162,7 +162,7 @@
 			s.locked(func() { s.cutLinks["store>"+b] = true })
 		}
 		time.Sleep(150 * time.Second)
-		s.is.Equal(s.hosts[s.standby].proprietor.Owner("a/0"), s.owner)
+		s.is.Equal(s.hosts[s.standby].owner.Owner("a/0"), s.owner)
 	})
 }
 
@@ -175,7 +175,7 @@
 		for _, a := range []string{"a0", "a1"} { // so that both owners have the same jobs to start
 			s.setHostPartitioned(a, true, "wa0", "wa1")
 		}
-		for len(s.hosts["b0"].proprietor.List(allJobs))+len(s.hosts["b1"].proprietor.List(allJobs)) == 0 {
+		for len(s.hosts["b0"].owner.List(allJobs))+len(s.hosts["b1"].owner.List(allJobs)) == 0 {
 			time.Sleep(20 * time.Millisecond)
 		}
 		for _, b := range []string{"b0", "b1"} {
--- a/internal/proprietor/ownership.go
+++ b/internal/proprietor/ownership.go
@@ -19,17 +19,17 @@
 
 // ownedShard is a shard that this host owns.
 type ownedShard struct {
-	proprietor *Proprietor
-	name       string
-	epoch      uint64
-	context    context.Context // ends when this host stops owning the shard
-	cancel     context.CancelFunc
+	owner   *Owner
+	name    string
+	epoch   uint64
+	context context.Context // ends when this host stops owning the shard
+	cancel  context.CancelFunc
 
 	mutex                    sync.Mutex
 	shard                    *scheduler.Shard
-	placingLease             *keeper.Tenure
-	runningLease             *keeper.Tenure
-	lastLeaseEvent           scheduler.TenureChanged
+	placingLease             *keeper.Lease
+	runningLease             *keeper.Lease
+	lastLeaseEvent           scheduler.OwnershipLeaseChanged
 	earlierOwnersEndAt       time.Time
 	earlierRunningSuccessors []string // running successors in the journal of the previous owner
 	revision                 uint64   // of the stored journal
@@ -54,16 +54,16 @@
 
 // startOwnership starts to run a shard that this host has claimed. j is the journal that the
 // claim wrote, earlier the one before it; sentAt is when the claim was sent.
-func (p *Proprietor) startOwnership(j, earlier scheduler.Journal, recordsValue []byte, revision uint64, sentAt time.Time) {
+func (p *Owner) startOwnership(j, earlier scheduler.Journal, recordsValue []byte, revision uint64, sentAt time.Time) {
 	ctx, stop := context.WithCancel(p.context)
 	p.mutex.Lock()
 	c, leaving := p.config, p.leaving
 	seed := p.random.Uint64()
 	p.mutex.Unlock()
 	o := &ownedShard{
-		proprietor: p, name: j.Shard, epoch: j.Epoch, context: ctx, cancel: stop, revision: revision,
-		placingLease:             keeper.NewTenure(p.placingTTL, j.Successors, sentAt),
-		runningLease:             keeper.NewTenure(p.runningTTL, j.RunningSuccessors, sentAt),
+		owner: p, name: j.Shard, epoch: j.Epoch, context: ctx, cancel: stop, revision: revision,
+		placingLease:             keeper.NewLease(p.placingTTL, j.Successors, sentAt),
+		runningLease:             keeper.NewLease(p.runningTTL, j.RunningSuccessors, sentAt),
 		earlierRunningSuccessors: earlier.RunningSuccessors,
 		pendingRequests:          make(map[uint64]chan scheduler.AnswerSubmission),
 	}
@@ -83,9 +83,9 @@
 	})
 	p.recordOwnerChange(j.Shard, "TenureEnded", fmt.Sprintf("epoch %d, previous owner %q, %d jobs", j.Epoch, earlier.Owner, len(j.Jobs)))
 	o.step(scheduler.ConfigurationChanged{Configuration: c})
-	o.step(scheduler.Claimed{Journal: j, Records: recordsValue})
+	o.step(scheduler.Claimed{Journal: j, JobHistory: recordsValue})
 	for w := range leaving {
-		o.step(scheduler.HostLeaving{Worker: w, Leaving: true})
+		o.step(scheduler.WorkerLeaving{Worker: w, Leaving: true})
 	}
 	p.mutex.Lock()
 	p.shards[j.Shard] = o
@@ -99,7 +99,7 @@
 }
 
 // recordOwnerChange adds a decision record about a change of owner.
-func (p *Proprietor) recordOwnerChange(shard, rule, cause string) {
+func (p *Owner) recordOwnerChange(shard, rule, cause string) {
 	p.settings.Record(recorder.Record{Time: time.Now(), Kind: recorder.KindClaim, Subject: shard, Rule: rule, Cause: cause, Outcome: p.settings.Host})
 }
 
@@ -115,19 +115,19 @@
 func (o *ownedShard) step(e scheduler.Event) {
 	o.mutex.Lock()
 	now := time.Now()
-	var records []scheduler.Record
-	if t := (scheduler.TenureChanged{Placing: o.placingLease.Until(), Running: o.runningLease.Until(), EarlierEnds: o.earlierOwnersEndAt}); t != o.lastLeaseEvent {
+	var records []scheduler.DecisionRecord
+	if t := (scheduler.OwnershipLeaseChanged{PlacingUntil: o.placingLease.Expiry(), RunningUntil: o.runningLease.Expiry(), EarlierOwnersEndAt: o.earlierOwnersEndAt}); t != o.lastLeaseEvent {
 		o.lastLeaseEvent = t
 		records = o.startActions(o.shard.Step(t, now), records)
 	}
 	records = o.startActions(o.shard.Step(e, now), records)
 	o.mutex.Unlock()
 	for _, r := range records {
-		o.proprietor.settings.Record(toDecisionRecord(o.name, r))
+		o.owner.settings.Record(toDecisionRecord(o.name, r))
 	}
 }
 
-func toDecisionRecord(shard string, r scheduler.Record) recorder.Record {
+func toDecisionRecord(shard string, r scheduler.DecisionRecord) recorder.Record {
 	m := recorder.Record{
 		Time: r.Time, Kind: r.Kind, Job: r.ID, Task: r.ID, Worker: r.Worker, Subject: shard,
 		Cause: r.Cause, Rule: r.Rule, Outcome: r.Worker,
@@ -146,20 +146,20 @@
 
 // startActions starts the actions and appends the decisions to records. The caller holds
 // mutex.
-func (o *ownedShard) startActions(actions []scheduler.Action, records []scheduler.Record) []scheduler.Record {
+func (o *ownedShard) startActions(actions []scheduler.Action, records []scheduler.DecisionRecord) []scheduler.DecisionRecord {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case scheduler.WriteJournal:
 			if o.successors.pending && o.successors.sequence == 0 {
 				o.successors.sequence = a.Sequence
 			}
-			o.proprietor.background(func(context.Context) { o.writeJournal(a) })
-		case scheduler.WriteRecords:
-			o.proprietor.background(func(context.Context) { o.writeJobHistory(a) })
+			o.owner.background(func(context.Context) { o.writeJournal(a) })
+		case scheduler.WriteJobHistory:
+			o.owner.background(func(context.Context) { o.writeJobHistory(a) })
 		case scheduler.SendFence:
-			o.enqueueCall(func(ctx context.Context) { o.sendFence(ctx, a) }, scheduler.WorkerSilent{Worker: a.Worker})
-		case scheduler.AskReport:
-			o.enqueueCall(func(ctx context.Context) { o.requestReport(ctx, a) }, scheduler.WorkerSilent{Worker: a.Worker})
+			o.enqueueCall(func(ctx context.Context) { o.sendFence(ctx, a) }, scheduler.PollFailed{Worker: a.Worker})
+		case scheduler.RequestReport:
+			o.enqueueCall(func(ctx context.Context) { o.requestReport(ctx, a) }, scheduler.PollFailed{Worker: a.Worker})
 		case scheduler.SendCommands:
 			o.enqueueCall(func(ctx context.Context) { o.sendCommands(ctx, a) }, scheduler.CommandsAnswered{Worker: a.Worker, NotSent: true})
 		case scheduler.AnswerSubmission:
@@ -168,10 +168,10 @@
 				c <- a
 			}
 		case scheduler.AnswerImport:
-			o.proprietor.background(func(ctx context.Context) { o.proprietor.clearImportedJobs(ctx, a.From, o.name) })
+			o.owner.background(func(ctx context.Context) { o.owner.clearImportedJobs(ctx, a.From, o.name) })
 		case scheduler.PublishEndpoints:
 			o.endpoints = a.Endpoints
-		case scheduler.Record:
+		case scheduler.DecisionRecord:
 			records = append(records, a)
 		}
 	}
@@ -182,9 +182,9 @@
 // shard gets the event full instead.
 func (o *ownedShard) enqueueCall(f func(context.Context), full scheduler.Event) {
 	select {
-	case o.proprietor.workerCalls <- f:
+	case o.owner.workerCalls <- f:
 	default:
-		o.proprietor.background(func(context.Context) { o.step(full) })
+		o.owner.background(func(context.Context) { o.step(full) })
 	}
 }
 
@@ -193,37 +193,37 @@
 func (o *ownedShard) placingLeaseValid() bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return !o.lost && o.placingLease.Holds(time.Now())
+	return !o.lost && o.placingLease.Valid(time.Now())
 }
 
 // sendFence sends the owner's epoch to a worker.
 func (o *ownedShard) sendFence(ctx context.Context, a scheduler.SendFence) {
 	if !o.placingLeaseValid() {
-		o.step(scheduler.WorkerSilent{Worker: a.Worker})
+		o.step(scheduler.PollFailed{Worker: a.Worker})
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	sentAt := time.Now()
-	f, err := o.proprietor.settings.Workers.Fence(ctx, a.Address, a.Epoch, o.proprietor.settings.Host)
+	f, err := o.owner.settings.Workers.Fence(ctx, a.Address, a.Epoch, o.owner.settings.Host)
 	switch {
 	case err != nil:
-		o.step(scheduler.WorkerSilent{Worker: a.Worker, Reason: err.Error()})
+		o.step(scheduler.PollFailed{Worker: a.Worker, Reason: err.Error()})
 	case !f.Accepted:
-		o.step(scheduler.WorkerRejected{Worker: a.Worker, Epoch: f.Epoch})
+		o.step(scheduler.WorkerSuperseded{Worker: a.Worker, Epoch: f.Epoch})
 	default:
-		o.step(scheduler.WorkerFenced{Worker: a.Worker, Epoch: a.Epoch, Report: f.Report, SentAt: sentAt, ReceivedAt: time.Now()})
+		o.step(scheduler.WorkerEpochAccepted{Worker: a.Worker, Epoch: a.Epoch, Report: f.Report, SentAt: sentAt, ReceivedAt: time.Now()})
 	}
 }
 
 // requestReport requests a worker's report.
-func (o *ownedShard) requestReport(ctx context.Context, a scheduler.AskReport) {
+func (o *ownedShard) requestReport(ctx context.Context, a scheduler.RequestReport) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	sentAt := time.Now()
-	r, err := o.proprietor.settings.Workers.Report(ctx, a.Address)
+	r, err := o.owner.settings.Workers.Report(ctx, a.Address)
 	if err != nil {
-		o.step(scheduler.WorkerSilent{Worker: a.Worker, Reason: err.Error()})
+		o.step(scheduler.PollFailed{Worker: a.Worker, Reason: err.Error()})
 		return
 	}
 	o.step(scheduler.ReportArrived{Worker: a.Worker, Report: r, SentAt: sentAt, ReceivedAt: time.Now()})
@@ -240,12 +240,12 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	m, err := o.proprietor.settings.Workers.Apply(ctx, a.Address, a.Epoch, o.proprietor.settings.Host, a.Commands)
+	m, err := o.owner.settings.Workers.Apply(ctx, a.Address, a.Epoch, o.owner.settings.Host, a.Commands)
 	switch {
 	case err != nil:
 		o.step(scheduler.CommandsAnswered{Worker: a.Worker, Unreachable: true})
 	case !m.Accepted:
-		o.step(scheduler.WorkerRejected{Worker: a.Worker, Epoch: m.Epoch})
+		o.step(scheduler.WorkerSuperseded{Worker: a.Worker, Epoch: m.Epoch})
 	default:
 		o.step(scheduler.CommandsAnswered{Worker: a.Worker, Results: m.Results})
 	}
@@ -262,7 +262,7 @@
 	ctx, cancel := context.WithTimeout(o.context, callTimeout)
 	defer cancel()
 	sentAt := time.Now()
-	swapped, revision, err := o.proprietor.settings.Store.CompareAndSwap(ctx, journalKey(o.name), expect, a.Value)
+	swapped, revision, err := o.owner.settings.Store.CompareAndSwap(ctx, journalKey(o.name), expect, a.Value)
 	switch {
 	case err == nil && swapped:
 		o.journalWritten(a, revision, sentAt)
@@ -271,7 +271,7 @@
 	case writeNotApplied(err):
 		o.step(scheduler.JournalFailed{Sequence: a.Sequence, Retry: o.nextRetryDelay(), Reason: err.Error()})
 	default:
-		o.step(scheduler.JournalUnknown{Sequence: a.Sequence})
+		o.step(scheduler.JournalOutcomeUnknown{Sequence: a.Sequence})
 		o.resolveWrite(a, sentAt)
 	}
 }
@@ -288,8 +288,8 @@
 func (o *ownedShard) journalWritten(a scheduler.WriteJournal, revision uint64, sentAt time.Time) {
 	o.mutex.Lock()
 	o.revision, o.consecutiveWriteFailures = revision, 0
-	o.placingLease.Renewed(sentAt)
-	o.runningLease.Renewed(sentAt)
+	o.placingLease.RecordRenewal(sentAt)
+	o.runningLease.RecordRenewal(sentAt)
 	if c := &o.successors; c.pending && c.sequence != 0 && a.Sequence >= c.sequence {
 		c.placing, c.running, c.pending = c.nextPlacing, c.nextRunning, false
 		o.placingLease.SetSuccessors(c.placing)
@@ -297,7 +297,7 @@
 	}
 	o.mutex.Unlock()
 	o.step(scheduler.JournalWritten{Sequence: a.Sequence})
-	o.proprietor.removeIfReleased(o)
+	o.owner.removeIfReleased(o)
 }
 
 // resolveWrite reads the journal back until it is known whether the write took effect. A
@@ -305,7 +305,7 @@
 func (o *ownedShard) resolveWrite(a scheduler.WriteJournal, sentAt time.Time) {
 	for o.context.Err() == nil {
 		ctx, cancel := context.WithTimeout(o.context, callTimeout)
-		entry, err := o.proprietor.settings.Store.Get(ctx, journalKey(o.name))
+		entry, err := o.owner.settings.Store.Get(ctx, journalKey(o.name))
 		cancel()
 		if err != nil {
 			sleep(o.context, o.nextRetryDelay())
@@ -325,7 +325,7 @@
 		o.setRevision(0)
 		o.step(scheduler.JournalFailed{Sequence: a.Sequence, Retry: o.nextRetryDelay(), Reason: "the journal was deleted"})
 	case err != nil:
-		o.proprietor.rejectJournal(o.name, err)
+		o.owner.rejectJournal(o.name, err)
 		o.step(scheduler.JournalFailed{Sequence: a.Sequence, Retry: o.nextRetryDelay(), Reason: err.Error()})
 	case j.Writer == a.Writer && j.Sequence == a.Sequence:
 		o.journalWritten(a, entry.Revision, sentAt)
@@ -334,7 +334,7 @@
 		o.setRevision(entry.Revision)
 		o.step(scheduler.JournalFailed{Sequence: a.Sequence, Retry: o.nextRetryDelay(), Reason: "the write did not take effect"})
 	default:
-		o.proprietor.loseShard(o, j)
+		o.owner.loseShard(o, j)
 	}
 }
 
@@ -354,27 +354,27 @@
 	o.mutex.Unlock()
 	switch n {
 	case 1:
-		return o.proprietor.randomDuration(100*time.Millisecond, 300*time.Millisecond)
+		return o.owner.randomDuration(100*time.Millisecond, 300*time.Millisecond)
 	case 2:
-		return o.proprietor.randomDuration(500*time.Millisecond, time.Second)
+		return o.owner.randomDuration(500*time.Millisecond, time.Second)
 	}
-	return o.proprietor.randomDuration(500*time.Millisecond, 5*time.Second)
+	return o.owner.randomDuration(500*time.Millisecond, 5*time.Second)
 }
 
 // writeJobHistory replaces the shard's history of ended jobs, which only the owner writes.
-func (o *ownedShard) writeJobHistory(a scheduler.WriteRecords) {
+func (o *ownedShard) writeJobHistory(a scheduler.WriteJobHistory) {
 	if !o.placingLeaseValid() {
-		o.step(scheduler.RecordsWritten{})
+		o.step(scheduler.JobHistoryWritten{})
 		return
 	}
 	ctx, cancel := context.WithTimeout(o.context, callTimeout)
 	defer cancel()
-	entry, err := o.proprietor.settings.Store.Get(ctx, jobHistoryKey(o.name))
+	entry, err := o.owner.settings.Store.Get(ctx, jobHistoryKey(o.name))
 	done := false
 	if err == nil {
-		done, _, err = o.proprietor.settings.Store.CompareAndSwap(ctx, jobHistoryKey(o.name), entry.Revision, a.Value)
+		done, _, err = o.owner.settings.Store.CompareAndSwap(ctx, jobHistoryKey(o.name), entry.Revision, a.Value)
 	}
-	o.step(scheduler.RecordsWritten{Done: done && err == nil})
+	o.step(scheduler.JobHistoryWritten{Done: done && err == nil})
 }
 
 // setSuccessors changes the possible successors, in the leases at once and in the journal
@@ -411,14 +411,14 @@
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if kind == messenger.LeasePlacing {
-		o.placingLease.Promised(by, sentAt)
+		o.placingLease.RecordPromise(by, sentAt)
 		return
 	}
-	o.runningLease.Promised(by, sentAt)
+	o.runningLease.RecordPromise(by, sentAt)
 	if o.earlierOwnersEndAt.IsZero() && slices.Contains(o.earlierRunningSuccessors, by) {
 		// After a promise for this epoch, that host refuses promises to owners of earlier
 		// epochs. Their leases for running tasks therefore end within one TTL.
-		o.earlierOwnersEndAt = time.Now().Add(o.proprietor.runningTTL)
+		o.earlierOwnersEndAt = time.Now().Add(o.owner.runningTTL)
 	}
 }
 
@@ -439,7 +439,7 @@
 		delete(o.pendingRequests, request)
 		o.mutex.Unlock()
 		return messenger.JobAnswer{}, ctx.Err()
-	case <-o.proprietor.context.Done():
+	case <-o.owner.context.Done():
 		return messenger.JobAnswer{}, context.Canceled
 	}
 }
@@ -466,8 +466,8 @@
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	s.Epoch = o.epoch
-	s.Placing, s.Running = o.placingLease.Until(), o.runningLease.Until()
-	s.Workers, s.WorkersFenced = o.shard.Workers()
+	s.PlacingUntil, s.RunningUntil = o.placingLease.Expiry(), o.runningLease.Expiry()
+	s.Workers, s.WorkersEpochAccepted = o.shard.Workers()
 	s.StoreAvailable = o.shard.StoreAvailable()
 	s.Jobs = make(map[scheduler.JobState]int)
 	for _, j := range o.shard.Jobs() {
--- a/internal/proprietor/ownership_test.go
+++ b/internal/proprietor/ownership_test.go
@@ -96,7 +96,7 @@
 	runOnCluster(t, 4, 100*time.Second, func(s *testCluster) {
 		s.killHost(s.owner)
 		crashedAt := time.Now()
-		p := s.hosts[s.standby].proprietor
+		p := s.hosts[s.standby].owner
 		for p.Owner("a/0") != s.standby {
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -122,7 +122,7 @@
 	runOnCluster(t, 5, 60*time.Second, func(s *testCluster) {
 		before := s.activeTasks("wa0", commander.KindBatch)
 		s.is.True(before > 0)
-		p := s.hosts[s.owner].proprietor
+		p := s.hosts[s.owner].owner
 		p.SetLeaving([]string{"wa0"})
 		time.Sleep(150 * time.Millisecond) // evictions have begun and not ended
 		var evicting []scheduler.JobStatus
@@ -156,7 +156,7 @@
 // a job running.
 func TestBulkCancellation(t *testing.T) {
 	runOnCluster(t, 800, 300*time.Second, func(s *testCluster) {
-		p := s.hosts[s.owner].proprietor
+		p := s.hosts[s.owner].owner
 		for _, n := range s.jobNames {
 			go s.cancel(n)
 		}
@@ -193,15 +193,15 @@
 		}
 		time.Sleep(15 * time.Second)
 		is.Equal(cl.activeTasks("", commander.KindService), 4)
-		owner := cl.hosts[cl.hosts["a0"].proprietor.Owner("a/0")]
-		es := owner.proprietor.Endpoints()
+		owner := cl.hosts[cl.hosts["a0"].owner.Owner("a/0")]
+		es := owner.owner.Endpoints()
 		is.Equal(len(es), 4)
 		is.Equal(es[0].Slots, 8)
 		leaving := es[0].Worker
-		owner.proprietor.SetLeaving([]string{leaving})
+		owner.owner.SetLeaving([]string{leaving})
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
-			serving := slices.DeleteFunc(owner.proprietor.Endpoints(), func(e messenger.Endpoint) bool { return e.Draining })
+			serving := slices.DeleteFunc(owner.owner.Endpoints(), func(e messenger.Endpoint) bool { return e.Draining })
 			is.True(len(serving) >= 4)
 			is.True(cl.activeTasks("", commander.KindService) >= 4)
 		}
@@ -228,17 +228,17 @@
 		}
 		time.Sleep(60 * time.Second)
 		cl.locked(func() { is.Equal(string(cl.storeEntries["shards/a/0"].Value), "{damaged") })
-		is.Equal(cl.hosts["a0"].proprietor.Owner("a/0"), "")
-		is.True(cl.hosts["b0"].proprietor.Owner("b/0") != "") // the other shard is claimed
+		is.Equal(cl.hosts["a0"].owner.Owner("a/0"), "")
+		is.True(cl.hosts["b0"].owner.Owner("b/0") != "") // the other shard is claimed
 	})
 }
 
 // Guards against a planned stop after which successors wait for the end of the lease.
 func TestReleasedShardIsClaimedAtOnce(t *testing.T) {
 	runOnCluster(t, 4, 60*time.Second, func(s *testCluster) {
-		s.is.NoErr(s.hosts[s.owner].proprietor.Release(context.Background()))
+		s.is.NoErr(s.hosts[s.owner].owner.Release(context.Background()))
 		begin := time.Now()
-		for s.hosts[s.standby].proprietor.Owner("a/0") != s.standby && time.Since(begin) < time.Minute {
+		for s.hosts[s.standby].owner.Owner("a/0") != s.standby && time.Since(begin) < time.Minute {
 			time.Sleep(50 * time.Millisecond)
 		}
 		t.Logf("claimed by the successor after %s", time.Since(begin))
@@ -265,7 +265,7 @@
 		for _, h := range c.EntryHosts {
 			cl.setPartitioned(h.Name, "store", true)
 		}
-		cl.killHost(cl.hosts["a0"].proprietor.Owner("a/0"))
+		cl.killHost(cl.hosts["a0"].owner.Owner("a/0"))
 		time.Sleep(15 * time.Minute)
 		is.Equal(cl.activeTasks("", commander.KindService), 2)
 		is.Equal(cl.startsOf(""), 2) // the same two tasks
--- a/internal/proprietor/proprietor.go
+++ b/internal/proprietor/proprietor.go
@@ -53,15 +53,15 @@
 // ShardStatus is the state of a shard according to this host. The fields from Epoch on are
 // set only if this host owns the shard.
 type ShardStatus struct {
-	Shard          string
-	Owner          string
-	Epoch          uint64
-	Placing        time.Time // end of the lease for placing tasks
-	Running        time.Time // end of the lease for running tasks
-	Workers        int
-	WorkersFenced  int // workers that have accepted this host's epoch
-	Jobs           map[scheduler.JobState]int
-	StoreAvailable bool // whether the last journal write succeeded
+	Shard                string
+	Owner                string
+	Epoch                uint64
+	PlacingUntil         time.Time // end of the lease for placing tasks
+	RunningUntil         time.Time // end of the lease for running tasks
+	Workers              int
+	WorkersEpochAccepted int // workers that have accepted this host's epoch
+	Jobs                 map[scheduler.JobState]int
+	StoreAvailable       bool // whether the last journal write succeeded
 }
 
 // API lists the methods of a Proprietor that an entry host calls.
@@ -72,10 +72,10 @@
 	SetLeaving(workers []string)
 	// Claims returns the owned shards for which the next heartbeat requests promises.
 	Claims() []messenger.ShardClaim
-	// Answered records the promises in an answer to a heartbeat sent at sentAt.
-	Answered(sentAt time.Time, a messenger.HeartbeatAnswer)
-	// Promise returns the promises that this host can give to the sender of a heartbeat.
-	Promise(h messenger.Heartbeat) []messenger.Promise
+	// RecordPromises records the promises in an answer to a heartbeat sent at sentAt.
+	RecordPromises(sentAt time.Time, a messenger.HeartbeatAnswer)
+	// AnswerClaims returns the promises that this host can give to the sender of a heartbeat.
+	AnswerClaims(h messenger.Heartbeat) []messenger.Promise
 	// HomeShard returns the shard ("domain/shard") that jobs of this name are submitted to.
 	HomeShard(job string) string
 	// Owner returns the last known owner of the shard, or "".
@@ -95,7 +95,7 @@
 	Release(ctx context.Context) error
 }
 
-var _ API = (*Proprietor)(nil)
+var _ API = (*Owner)(nil)
 
 const (
 	// callTimeout bounds one call to the store or a worker.
@@ -116,9 +116,9 @@
 	reportedOwnerMaxAge = 5 * time.Second
 )
 
-// Proprietor claims shards and runs the ones that this host owns. It is safe for
+// Owner claims shards and runs the ones that this host owns. It is safe for
 // concurrent use.
-type Proprietor struct {
+type Owner struct {
 	settings    Settings
 	startedAt   time.Time
 	context     context.Context
@@ -157,7 +157,7 @@
 
 // New starts a Proprietor, which claims no shard before Configure. The returned function
 // stops it and waits for its goroutines.
-func New(s Settings) (*Proprietor, func(), error) {
+func New(s Settings) (*Owner, func(), error) {
 	if s.Host == "" || s.FailureDomain == "" || s.Incarnation == "" || s.Store == nil || s.Workers == nil || s.Random == nil {
 		return nil, nil, errors.New("proprietor: Host, FailureDomain, Incarnation, Store, Workers and Random are required")
 	}
@@ -169,7 +169,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	group, ctx := errgroup.WithContext(ctx)
-	p := &Proprietor{
+	p := &Owner{
 		settings: s, startedAt: time.Now(), context: ctx, group: group, random: s.Random,
 		workerCalls: make(chan func(context.Context), workerCallQueueCapacity),
 		leaving:     make(map[string]bool), shards: make(map[string]*ownedShard),
@@ -192,7 +192,7 @@
 }
 
 // background runs f in a goroutine, with a context that ends when the Proprietor stops.
-func (p *Proprietor) background(f func(ctx context.Context)) {
+func (p *Owner) background(f func(ctx context.Context)) {
 	p.closeMutex.Lock()
 	defer p.closeMutex.Unlock()
 	if p.closed {
@@ -205,7 +205,7 @@
 }
 
 // runWorkerCalls executes queued calls to workers until the Proprietor stops.
-func (p *Proprietor) runWorkerCalls(ctx context.Context) {
+func (p *Owner) runWorkerCalls(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -229,7 +229,7 @@
 }
 
 // randomDuration returns a random duration in [low, high).
-func (p *Proprietor) randomDuration(low, high time.Duration) time.Duration {
+func (p *Owner) randomDuration(low, high time.Duration) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return low + time.Duration(p.random.Int64N(int64(high-low)))
@@ -238,7 +238,7 @@
 // Configure puts a configuration into effect. The lease TTLs of the first configuration
 // stay in effect until the process restarts: with different TTLs, an owner and its
 // successor could act on a shard at the same time.
-func (p *Proprietor) Configure(c *configurator.Configuration) {
+func (p *Owner) Configure(c *configurator.Configuration) {
 	p.mutex.Lock()
 	if p.placingSuccessor == nil {
 		p.placingTTL = cmp.Or(c.Policy.OwnershipTTL, configurator.DefaultOwnershipTTL)
@@ -252,14 +252,14 @@
 	for _, o := range owned {
 		o.step(scheduler.ConfigurationChanged{Configuration: c})
 		for w := range leaving { // the configuration may have added a leaving worker
-			o.step(scheduler.HostLeaving{Worker: w, Leaving: true})
+			o.step(scheduler.WorkerLeaving{Worker: w, Leaving: true})
 		}
 		o.setSuccessors(p.successors(c))
 	}
 }
 
 // sortedShardsLocked returns the owned shards, sorted by name. The caller holds mutex.
-func (p *Proprietor) sortedShardsLocked() []*ownedShard {
+func (p *Owner) sortedShardsLocked() []*ownedShard {
 	owned := make([]*ownedShard, 0, len(p.shards))
 	for _, o := range p.shards {
 		owned = append(owned, o)
@@ -269,14 +269,14 @@
 }
 
 // ownedShards returns the owned shards, sorted by name.
-func (p *Proprietor) ownedShards() []*ownedShard {
+func (p *Owner) ownedShards() []*ownedShard {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.sortedShardsLocked()
 }
 
 // ownedShard returns the named shard, or nil if this host does not own it.
-func (p *Proprietor) ownedShard(shard string) *ownedShard {
+func (p *Owner) ownedShard(shard string) *ownedShard {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.shards[shard]
@@ -284,7 +284,7 @@
 
 // successors returns the hosts that may claim a shard of this failure domain (placing) and
 // those that may import its jobs (running).
-func (p *Proprietor) successors(c *configurator.Configuration) (placing, running []string) {
+func (p *Owner) successors(c *configurator.Configuration) (placing, running []string) {
 	next := ""
 	for _, d := range c.FailureDomains {
 		if d.Name == p.settings.FailureDomain {
@@ -305,7 +305,7 @@
 }
 
 // SetLeaving sets the complete list of leaving workers.
-func (p *Proprietor) SetLeaving(workers []string) {
+func (p *Owner) SetLeaving(workers []string) {
 	p.mutex.Lock()
 	before := p.leaving
 	p.leaving = make(map[string]bool, len(workers))
@@ -318,17 +318,17 @@
 	for _, o := range owned {
 		for w := range before {
 			if !now[w] {
-				o.step(scheduler.HostLeaving{Worker: w})
+				o.step(scheduler.WorkerLeaving{Worker: w})
 			}
 		}
 		for w := range now {
-			o.step(scheduler.HostLeaving{Worker: w, Leaving: true})
+			o.step(scheduler.WorkerLeaving{Worker: w, Leaving: true})
 		}
 	}
 }
 
 // Claims returns the owned shards for which the next heartbeat requests promises.
-func (p *Proprietor) Claims() []messenger.ShardClaim {
+func (p *Owner) Claims() []messenger.ShardClaim {
 	var cs []messenger.ShardClaim
 	for _, o := range p.ownedShards() {
 		cs = append(cs, messenger.ShardClaim{
@@ -339,8 +339,8 @@
 	return cs
 }
 
-// Answered records the promises in an answer to a heartbeat that was sent at sentAt.
-func (p *Proprietor) Answered(sentAt time.Time, a messenger.HeartbeatAnswer) {
+// RecordPromises records the promises in an answer to a heartbeat that was sent at sentAt.
+func (p *Owner) RecordPromises(sentAt time.Time, a messenger.HeartbeatAnswer) {
 	for _, m := range a.Promises {
 		if o := p.ownedShard(m.Shard); o != nil && o.epoch == m.Epoch {
 			o.recordPromise(a.Host, m.Kind, sentAt)
@@ -348,9 +348,9 @@
 	}
 }
 
-// Promise returns the promises that this host can give to the sender of a heartbeat: not
+// AnswerClaims returns the promises that this host can give to the sender of a heartbeat: not
 // to claim the sender's shards for one TTL.
-func (p *Proprietor) Promise(m messenger.Heartbeat) []messenger.Promise {
+func (p *Owner) AnswerClaims(m messenger.Heartbeat) []messenger.Promise {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := time.Now()
@@ -371,7 +371,7 @@
 
 // successorFor returns the successor state of this host for shards of a failure domain, or
 // nil if this host cannot succeed their owners.
-func (p *Proprietor) successorFor(domain string, k messenger.LeaseKind) *keeper.Successor {
+func (p *Owner) successorFor(domain string, k messenger.LeaseKind) *keeper.Successor {
 	switch {
 	case k == messenger.LeasePlacing && domain == p.settings.FailureDomain:
 		return p.placingSuccessor
@@ -427,7 +427,7 @@
 
 // HomeShard returns the shard ("domain/shard") that jobs of this name are submitted to, or
 // "" before the first configuration.
-func (p *Proprietor) HomeShard(job string) string {
+func (p *Owner) HomeShard(job string) string {
 	p.mutex.Lock()
 	c := p.config
 	p.mutex.Unlock()
@@ -438,7 +438,7 @@
 }
 
 // Owner returns the last known owner of the shard, or "".
-func (p *Proprietor) Owner(shard string) string {
+func (p *Owner) Owner(shard string) string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.shards[shard] != nil {
@@ -455,7 +455,7 @@
 
 // Submit submits a job to its home shard and waits until the shard accepts or rejects it.
 // An accepted job is in the stored journal.
-func (p *Proprietor) Submit(ctx context.Context, spec scheduler.JobSpec) (messenger.JobAnswer, error) {
+func (p *Owner) Submit(ctx context.Context, spec scheduler.JobSpec) (messenger.JobAnswer, error) {
 	shard := p.HomeShard(spec.Name)
 	o := p.ownedShard(shard)
 	if o == nil {
@@ -468,7 +468,7 @@
 
 // Cancel cancels a job and waits until the stored journal holds the cancellation. The job
 // may be in another shard than its home shard, which imported it.
-func (p *Proprietor) Cancel(ctx context.Context, name string) (messenger.JobAnswer, error) {
+func (p *Owner) Cancel(ctx context.Context, name string) (messenger.JobAnswer, error) {
 	shard := p.HomeShard(name)
 	o := p.ownedShard(shard)
 	for _, s := range p.ownedShards() {
@@ -480,12 +480,12 @@
 		return messenger.JobAnswer{}, &NotOwnerError{Shard: shard, Owner: p.Owner(shard)}
 	}
 	return o.awaitAnswer(ctx, func(request uint64) scheduler.Event {
-		return scheduler.CancellationAsked{Request: request, Name: name}
+		return scheduler.CancellationRequested{Request: request, Name: name}
 	})
 }
 
 // List returns the jobs of the shards owned here.
-func (p *Proprietor) List(m messenger.ListRequest) []scheduler.JobStatus {
+func (p *Owner) List(m messenger.ListRequest) []scheduler.JobStatus {
 	var js []scheduler.JobStatus
 	for _, o := range p.ownedShards() {
 		if m.Name == "" {
@@ -501,7 +501,7 @@
 }
 
 // Endpoints returns the service instances of the shards owned here.
-func (p *Proprietor) Endpoints() []messenger.Endpoint {
+func (p *Owner) Endpoints() []messenger.Endpoint {
 	p.mutex.Lock()
 	c := p.config
 	p.mutex.Unlock()
@@ -524,7 +524,7 @@
 }
 
 // Shards returns the state of all configured shards, sorted by name.
-func (p *Proprietor) Shards() []ShardStatus {
+func (p *Owner) Shards() []ShardStatus {
 	p.mutex.Lock()
 	c := p.config
 	p.mutex.Unlock()
@@ -544,12 +544,12 @@
 
 // Release writes to the store that this host gives up its shards, so that their successors
 // need not wait for the leases to end. This process claims no shard afterwards.
-func (p *Proprietor) Release(ctx context.Context) error {
+func (p *Owner) Release(ctx context.Context) error {
 	p.mutex.Lock()
 	p.stopping = true
 	p.mutex.Unlock()
 	for _, o := range p.ownedShards() {
-		o.step(scheduler.Released{})
+		o.step(scheduler.ReleaseRequested{})
 	}
 	for len(p.ownedShards()) > 0 {
 		if !sleep(ctx, scheduler.TickInterval) {
--- a/internal/proprietor/proprietor_test.go
+++ b/internal/proprietor/proprietor_test.go
@@ -54,7 +54,7 @@
 	cl := newCluster(configuration(2, 2, 1))
 	h := cl.startHost("a0")
 	defer h.stop()
-	_, err := h.proprietor.Submit(context.Background(), scheduler.JobSpec{Name: "dent-repair-12", Class: "repair"})
+	_, err := h.owner.Submit(context.Background(), scheduler.JobSpec{Name: "dent-repair-12", Class: "repair"})
 	fmt.Println(err) // no shard is claimed within the first TTL
 	_, _, err = proprietor.New(proprietor.Settings{Host: "a0"})
 	fmt.Println(err)
--- a/internal/scheduler/action.go
+++ b/internal/scheduler/action.go
@@ -20,8 +20,8 @@
 	Sequence uint64
 }
 
-// WriteRecords requests a write of the shard's history of ended jobs.
-type WriteRecords struct{ Value []byte }
+// WriteJobHistory requests a write of the shard's history of ended jobs.
+type WriteJobHistory struct{ Value []byte }
 
 // SendFence requests that the owner's epoch be sent to a worker. A worker that accepts it
 // refuses the commands of earlier owners.
@@ -42,8 +42,8 @@
 	Until    time.Time
 }
 
-// AskReport requests a worker's report, which lists its tasks.
-type AskReport struct {
+// RequestReport requests a worker's report, which lists its tasks.
+type RequestReport struct {
 	Worker  string
 	Address netip.AddrPort
 }
@@ -76,8 +76,8 @@
 	Slowdown float64 // last measured interference slowdown, 0 if unknown
 }
 
-// Record is a decision to be logged and kept for the explain command.
-type Record struct {
+// DecisionRecord is a decision to be logged and kept for the explain command.
+type DecisionRecord struct {
 	Time       time.Time
 	ID         string // job, task or worker
 	Kind       recorder.Kind
@@ -88,11 +88,11 @@
 }
 
 func (WriteJournal) action()     {}
-func (WriteRecords) action()     {}
+func (WriteJobHistory) action()  {}
 func (SendFence) action()        {}
 func (SendCommands) action()     {}
-func (AskReport) action()        {}
+func (RequestReport) action()    {}
 func (AnswerSubmission) action() {}
 func (AnswerImport) action()     {}
 func (PublishEndpoints) action() {}
-func (Record) action()           {}
+func (DecisionRecord) action()   {}
--- a/internal/scheduler/command.go
+++ b/internal/scheduler/command.go
@@ -29,7 +29,7 @@
 	}
 	mayPlace := s.mayPlace(now)
 	var cs []commander.Command
-	until := now.Add(ServiceLease)
+	until := now.Add(ServiceLeaseDuration)
 	for _, name := range sortedNames(w.tasks) {
 		t := w.tasks[name]
 		c, ok := s.nextCommand(w, t, mayPlace, now)
@@ -141,7 +141,7 @@
 // leaseEnd returns the end of a lease granted now, in the worker's clock.
 func (s *Shard) leaseEnd(w *worker, t *task, now time.Time) commander.WorkerTime {
 	if t.kind == commander.KindService {
-		return w.toWorkerTime(now.Add(ServiceLease))
+		return w.toWorkerTime(now.Add(ServiceLeaseDuration))
 	}
 	return w.toWorkerTime(earlierOf(now.Add(BatchLeaseDuration), s.runningUntil))
 }
@@ -157,7 +157,7 @@
 	}
 	lease := BatchLeaseDuration
 	if t.kind == commander.KindService {
-		lease = ServiceLease
+		lease = ServiceLeaseDuration
 	}
 	switch c.Verb {
 	case commander.VerbStart:
@@ -246,6 +246,6 @@
 	case c.Verb == commander.VerbStart:
 		t.refusedStarts++
 		t.lastReason = r.Reason
-		s.recordDecision(Record{ID: t.Spec.Name, Kind: recorder.KindRefuse, Rule: "StartRefused", Worker: t.Worker, Cause: r.Reason}, now)
+		s.recordDecision(DecisionRecord{ID: t.Spec.Name, Kind: recorder.KindRefuse, Rule: "StartRefused", Worker: t.Worker, Cause: r.Reason}, now)
 	}
 }
--- a/internal/scheduler/event.go
+++ b/internal/scheduler/event.go
@@ -16,17 +16,17 @@
 // Claimed starts the ownership. Journal is the journal that the claim wrote; Records is
 // the stored history of ended jobs and may be empty.
 type Claimed struct {
-	Journal Journal
-	Records []byte
+	Journal    Journal
+	JobHistory []byte
 }
 
-// TenureChanged carries the ends of the ownership lease.
-type TenureChanged struct {
-	Placing time.Time // until when the owner may start, stop and evict tasks
-	Running time.Time // until when the owner may extend the leases of running batch tasks
-	// EarlierEnds is the time by which every earlier owner's lease for running tasks has
+// OwnershipLeaseChanged carries the ends of the ownership lease.
+type OwnershipLeaseChanged struct {
+	PlacingUntil time.Time // until when the owner may start, stop and evict tasks
+	RunningUntil time.Time // until when the owner may extend the leases of running batch tasks
+	// EarlierOwnersEndAt is the time by which every earlier owner's lease for running tasks has
 	// ended; zero until it is known.
-	EarlierEnds time.Time
+	EarlierOwnersEndAt time.Time
 }
 
 // SuccessorsChanged names the hosts that may claim the shard after this owner. The next
@@ -39,9 +39,9 @@
 	Spec    JobSpec
 }
 
-// CancellationAsked requests the cancellation of a job. The answer is an AnswerSubmission
+// CancellationRequested requests the cancellation of a job. The answer is an AnswerSubmission
 // with the same Request.
-type CancellationAsked struct {
+type CancellationRequested struct {
 	Request uint64
 	Name    string
 }
@@ -53,8 +53,8 @@
 	Jobs []JobEntry
 }
 
-// WorkerFenced reports that a worker has accepted the owner's epoch.
-type WorkerFenced struct {
+// WorkerEpochAccepted reports that a worker has accepted the owner's epoch.
+type WorkerEpochAccepted struct {
 	Worker             string
 	Epoch              uint64
 	Report             commander.Report
@@ -68,14 +68,14 @@
 	SentAt, ReceivedAt time.Time
 }
 
-// WorkerSilent reports that SendFence or AskReport got no answer.
-type WorkerSilent struct {
+// PollFailed reports that SendFence or AskReport got no answer.
+type PollFailed struct {
 	Worker string
 	Reason string
 }
 
-// WorkerRejected reports that the worker has accepted a higher epoch.
-type WorkerRejected struct {
+// WorkerSuperseded reports that the worker has accepted a higher epoch.
+type WorkerSuperseded struct {
 	Worker string
 	Epoch  uint64
 }
@@ -101,47 +101,47 @@
 	Reason   string
 }
 
-// JournalUnknown reports that the answer to the write was lost. The caller reads the
+// JournalOutcomeUnknown reports that the answer to the write was lost. The caller reads the
 // journal back and then reports JournalWritten, JournalFailed or JournalLost.
-type JournalUnknown struct{ Sequence uint64 }
+type JournalOutcomeUnknown struct{ Sequence uint64 }
 
 // JournalLost reports that another owner has written the journal. From then on the shard
 // only rejects submissions and cancellations.
 type JournalLost struct{ Owner string }
 
-// RecordsWritten is the outcome of a WriteRecords.
-type RecordsWritten struct{ Done bool }
+// JobHistoryWritten is the outcome of a WriteRecords.
+type JobHistoryWritten struct{ Done bool }
 
-// HostLeaving reports whether a worker is leaving.
-type HostLeaving struct {
+// WorkerLeaving reports whether a worker is leaving.
+type WorkerLeaving struct {
 	Worker  string
 	Leaving bool
 }
 
-// Released requests that the shard release its ownership with the next journal write, for
+// ReleaseRequested requests that the shard release its ownership with the next journal write, for
 // a planned stop of the host.
-type Released struct{}
+type ReleaseRequested struct{}
 
 // Tick triggers the decisions that depend on time. The caller sends it every TickInterval.
 type Tick struct{}
 
-func (ConfigurationChanged) event() {}
-func (Claimed) event()              {}
-func (TenureChanged) event()        {}
-func (SuccessorsChanged) event()    {}
-func (JobSubmitted) event()         {}
-func (CancellationAsked) event()    {}
-func (JobsImported) event()         {}
-func (WorkerFenced) event()         {}
-func (ReportArrived) event()        {}
-func (WorkerSilent) event()         {}
-func (WorkerRejected) event()       {}
-func (CommandsAnswered) event()     {}
-func (JournalWritten) event()       {}
-func (JournalFailed) event()        {}
-func (JournalUnknown) event()       {}
-func (JournalLost) event()          {}
-func (RecordsWritten) event()       {}
-func (HostLeaving) event()          {}
-func (Released) event()             {}
-func (Tick) event()                 {}
+func (ConfigurationChanged) event()  {}
+func (Claimed) event()               {}
+func (OwnershipLeaseChanged) event() {}
+func (SuccessorsChanged) event()     {}
+func (JobSubmitted) event()          {}
+func (CancellationRequested) event() {}
+func (JobsImported) event()          {}
+func (WorkerEpochAccepted) event()   {}
+func (ReportArrived) event()         {}
+func (PollFailed) event()            {}
+func (WorkerSuperseded) event()      {}
+func (CommandsAnswered) event()      {}
+func (JournalWritten) event()        {}
+func (JournalFailed) event()         {}
+func (JournalOutcomeUnknown) event() {}
+func (JournalLost) event()           {}
+func (JobHistoryWritten) event()     {}
+func (WorkerLeaving) event()         {}
+func (ReleaseRequested) event()      {}
+func (Tick) event()                  {}
--- a/internal/scheduler/instance.go
+++ b/internal/scheduler/instance.go
@@ -105,7 +105,7 @@
 	}
 	t.retiring, t.retiringSince, t.gracePeriod, t.State = true, now, instanceDrainPeriod, JobEvicting
 	s.markChanged(t)
-	s.recordDecision(Record{ID: t.Spec.Name, Kind: recorder.KindDrain, Rule: "ReplaceThenStop", Cause: cause, Worker: t.Worker}, now)
+	s.recordDecision(DecisionRecord{ID: t.Spec.Name, Kind: recorder.KindDrain, Rule: "ReplaceThenStop", Cause: cause, Worker: t.Worker}, now)
 }
 
 // mayStop reports whether an evicted task or a retiring instance may be stopped. An
--- a/internal/scheduler/journal.go
+++ b/internal/scheduler/journal.go
@@ -10,9 +10,9 @@
 	// JournalVersion is the version of the journal encoding that this program reads and
 	// writes.
 	JournalVersion = 1
-	// MaxJournalSize is the encoded size, in bytes, from which no new job is accepted. The
+	// MaxJournalBytes is the encoded size, in bytes, from which no new job is accepted. The
 	// difference to the store's limit of 1 MB is for state changes of the listed jobs.
-	MaxJournalSize = 900 << 10
+	MaxJournalBytes = 900 << 10
 	// maxDecodedJournalBytes is the size of the largest value that is decoded.
 	maxDecodedJournalBytes = 1 << 20
 )
@@ -143,10 +143,10 @@
 	return value, nil
 }
 
-// Empty turns j into the next journal of a shard whose jobs another shard has imported.
+// ClearImported turns j into the next journal of a shard whose jobs another shard has imported.
 // The jobs are removed, their names are kept in Moved so that a repeated submission is
 // refused, and the owner is cleared.
-func (j *Journal) Empty(writer string) {
+func (j *Journal) ClearImported(writer string) {
 	moved := make(map[string]string, len(j.Jobs))
 	for _, b := range j.Jobs {
 		moved[b.Spec.Name] = j.MovedTo
--- a/internal/scheduler/placing.go
+++ b/internal/scheduler/placing.go
@@ -82,29 +82,29 @@
 func (s *Shard) placerView(w *worker, now time.Time) placer.Worker {
 	v := placer.Worker{
 		Name: w.name, Rack: w.config.Rack, FailureDomain: s.settings.FailureDomain,
-		Capacity:   w.report.Capacity,
-		ReportedAt: w.reportReceivedAt.Add(w.report.MeasuredAt - w.report.Clock),
-		Leaving:    w.leaving || w.report.Leaving || w.removed,
-		Fenced:     w.acceptsTasks(now),
+		Capacity:      w.report.Capacity,
+		MeasuredAt:    w.reportReceivedAt.Add(w.report.MeasuredAt - w.report.Clock),
+		Leaving:       w.leaving || w.report.Leaving || w.removed,
+		EpochAccepted: w.acceptsTasks(now),
 	}
 	for _, name := range sortedNames(w.tasks) {
-		v.Residents = append(v.Residents, s.placerResident(w.tasks[name]))
+		v.AssignedTasks = append(v.AssignedTasks, s.placerResident(w.tasks[name]))
 	}
 	for _, o := range w.unassigned {
 		if o.report.State.Active() {
-			v.Residents = append(v.Residents, unassignedResident(o.report))
+			v.AssignedTasks = append(v.AssignedTasks, unassignedResident(o.report))
 		}
 	}
 	return v
 }
 
 // placerResident returns the placer's description of an assigned task.
-func (s *Shard) placerResident(t *task) placer.Resident {
-	r := placer.Resident{
+func (s *Shard) placerResident(t *task) placer.AssignedTask {
+	r := placer.AssignedTask{
 		Task: s.placerTask(t), Measured: t.report.Used, Slowdown: t.report.Slowdown, Started: t.Started,
 		Throttled: t.throttleLimit, LastAction: t.lastActionAt, Stopping: t.State == JobEvicting || t.State == JobCanceling,
 	}
-	r.Committed = placer.Commit(r.Declared, r.Measured)
+	r.Committed = placer.CommittedResources(r.Declared, r.Measured)
 	if v := s.serviceOf(t); v != nil {
 		r.LatencyTarget = v.LatencyTarget
 	}
@@ -113,10 +113,10 @@
 
 // unassignedResident returns the placer's description of a task that the shard has not
 // assigned to the worker. It counts as stopping, because the shard does not manage it.
-func unassignedResident(tr commander.TaskReport) placer.Resident {
-	return placer.Resident{
+func unassignedResident(tr commander.TaskReport) placer.AssignedTask {
+	return placer.AssignedTask{
 		Task:      placer.Task{Name: tr.Task, Class: tr.Class, Kind: string(tr.Kind), Declared: tr.Declared, Attempt: tr.Attempt},
-		Committed: placer.Commit(tr.Declared, tr.Used), Measured: tr.Used, Slowdown: tr.Slowdown, Stopping: true,
+		Committed: placer.CommittedResources(tr.Declared, tr.Used), Measured: tr.Used, Slowdown: tr.Slowdown, Stopping: true,
 	}
 }
 
@@ -145,7 +145,7 @@
 			s.assign(t, d, vs, now)
 		case placer.Wait:
 			s.postpone(t, recorder.KindWait, string(d.Rule), d.Reason, nil, now)
-		case placer.Never:
+		case placer.Unschedulable:
 			s.reject(t, d, now)
 		case placer.Preempt:
 			s.preempt(t, d, vs, now)
@@ -210,20 +210,20 @@
 	t.State, t.Worker, t.postponements, t.lastReason = JobStarting, w.name, 0, ""
 	t.Decision = fmt.Sprintf("placed on %s by rule %s", w.name, d.Rule)
 	w.tasks[t.Spec.Name] = t
-	vs[i].Residents = append(vs[i].Residents, s.placerResident(t))
+	vs[i].AssignedTasks = append(vs[i].AssignedTasks, s.placerResident(t))
 	s.markChanged(t)
-	s.recordDecision(Record{ID: t.Spec.Name, Kind: recorder.KindPlace, Rule: string(d.Rule), Cause: "pending", Worker: w.name, Candidates: d.Candidates}, now)
+	s.recordDecision(DecisionRecord{ID: t.Spec.Name, Kind: recorder.KindPlace, Rule: string(d.Rule), Cause: "pending", Worker: w.name, Candidates: d.Candidates}, now)
 }
 
 // hasFreeCapacity reports whether a task's declared size fits into the free capacity of a
 // worker that accepts tasks. It is checked before every assignment, whatever the placement
 // policy decided.
 func (s *Shard) hasFreeCapacity(t *task, v *placer.Worker) bool {
-	if !v.Fenced || v.Leaving {
+	if !v.EpochAccepted || v.Leaving {
 		return false
 	}
 	used := s.declaredSize(t)
-	for _, r := range v.Residents {
+	for _, r := range v.AssignedTasks {
 		used = used.Add(r.Declared)
 	}
 	return used.Fits(v.Capacity)
@@ -241,13 +241,13 @@
 	t.Decision = "waits: " + reason
 	if t.lastReason != rule {
 		t.lastReason = rule
-		s.recordDecision(Record{ID: t.Spec.Name, Kind: kind, Rule: rule, Cause: reason, Candidates: cs}, now)
+		s.recordDecision(DecisionRecord{ID: t.Spec.Name, Kind: kind, Rule: rule, Cause: reason, Candidates: cs}, now)
 	}
 }
 
 // reject ends a job that can never run. A service instance stays pending, because a later
 // configuration may allow it.
-func (s *Shard) reject(t *task, d placer.Never, now time.Time) {
+func (s *Shard) reject(t *task, d placer.Unschedulable, now time.Time) {
 	if t.kind == commander.KindService {
 		s.postpone(t, recorder.KindUnschedulable, string(d.Rule), d.Reason, nil, now)
 		return
@@ -267,8 +267,8 @@
 		s.evict(v, "preempted by "+t.Spec.Name, string(d.Rule), placer.PreemptGrace, d.Candidates, now)
 	}
 	for i := range vs {
-		for k := range vs[i].Residents {
-			if r := &vs[i].Residents[k]; vs[i].Name == d.Worker && slices.Contains(d.Victims, r.Name) {
+		for k := range vs[i].AssignedTasks {
+			if r := &vs[i].AssignedTasks[k]; vs[i].Name == d.Worker && slices.Contains(d.Victims, r.Name) {
 				r.Stopping, r.LastAction = true, now
 			}
 		}
@@ -282,7 +282,7 @@
 	if t.State != JobStarting && t.State != JobRunning {
 		return
 	}
-	s.recordDecision(Record{ID: t.Spec.Name, Kind: recorder.KindEvict, Rule: rule, Cause: cause, Worker: t.Worker, Candidates: cs}, now)
+	s.recordDecision(DecisionRecord{ID: t.Spec.Name, Kind: recorder.KindEvict, Rule: rule, Cause: cause, Worker: t.Worker, Candidates: cs}, now)
 	if !t.maybeStarted {
 		s.requeue(t, cause, now)
 		return
@@ -298,7 +298,7 @@
 		return
 	}
 	s.lastMitigationAt = now
-	for _, r := range s.settings.Placer.Relieve(s.placerViews(now), now) {
+	for _, r := range s.settings.Placer.Mitigate(s.placerViews(now), now) {
 		switch r := r.(type) {
 		case placer.Throttle:
 			s.throttle(r, now)
@@ -330,7 +330,7 @@
 		return
 	}
 	t.throttleLimit, t.lastActionAt = r.Limit, now
-	s.recordDecision(Record{ID: r.Task, Kind: recorder.KindThrottle, Rule: string(r.Rule), Cause: r.Cause, Worker: r.Worker, Candidates: r.Candidates}, now)
+	s.recordDecision(DecisionRecord{ID: r.Task, Kind: recorder.KindThrottle, Rule: string(r.Rule), Cause: r.Cause, Worker: r.Worker, Candidates: r.Candidates}, now)
 }
 
 // evacuateLeavingWorkers evicts the batch tasks and retires the service instances of
--- a/internal/scheduler/shard.go
+++ b/internal/scheduler/shard.go
@@ -16,9 +16,9 @@
 	TickInterval = 100 * time.Millisecond
 	// BatchLeaseDuration is the longest lease of a batch task.
 	BatchLeaseDuration = 20 * time.Second
-	// ServiceLease is the lease of a service instance. It is long because duplicate
+	// ServiceLeaseDuration is the lease of a service instance. It is long because duplicate
 	// instances are harmless and an outage must not stop a service.
-	ServiceLease = 10 * time.Minute
+	ServiceLeaseDuration = 10 * time.Minute
 	// commandValidity is the time after sending during which a worker accepts a command.
 	// A command without an answer can no longer take effect after this time.
 	commandValidity = 3 * time.Second
@@ -54,7 +54,7 @@
 	Configure(p placer.Policy, m configurator.Measures)
 	Observe(w placer.Worker, now time.Time)
 	Place(t placer.Task, ws []placer.Worker, now time.Time) placer.Decision
-	Relieve(ws []placer.Worker, now time.Time) []placer.Relief
+	Mitigate(ws []placer.Worker, now time.Time) []placer.Mitigation
 	TaskEnded(worker, task string, failed bool, now time.Time)
 }
 
@@ -166,26 +166,26 @@
 		s.applyConfiguration(e.Configuration, now)
 	case Claimed:
 		s.handleClaimed(e, now)
-	case TenureChanged:
-		s.placingUntil, s.runningUntil, s.earlierOwnersEndAt = e.Placing, e.Running, e.EarlierEnds
+	case OwnershipLeaseChanged:
+		s.placingUntil, s.runningUntil, s.earlierOwnersEndAt = e.PlacingUntil, e.RunningUntil, e.EarlierOwnersEndAt
 	case SuccessorsChanged:
 		s.journal.Successors, s.journal.RunningSuccessors = e.Placing, e.Running
 		s.writeSoon = true
 	case JobSubmitted:
 		s.handleSubmission(e, now)
-	case CancellationAsked:
+	case CancellationRequested:
 		s.handleCancellation(e, now)
 	case JobsImported:
 		s.importJobs(e, now)
-	case WorkerFenced:
+	case WorkerEpochAccepted:
 		s.handleWorkerFenced(e, now)
 	case ReportArrived:
 		s.handleReport(e, now)
-	case WorkerSilent:
+	case PollFailed:
 		if w := s.workers[e.Worker]; w != nil {
 			w.pollOutstanding = false
 		}
-	case WorkerRejected:
+	case WorkerSuperseded:
 		s.handleWorkerRejected(e, now)
 	case CommandsAnswered:
 		s.handleCommandsAnswered(e, now)
@@ -193,17 +193,17 @@
 		s.handleJournalWritten(e)
 	case JournalFailed:
 		s.handleJournalFailed(e, now)
-	case JournalUnknown:
+	case JournalOutcomeUnknown:
 		s.storeUnavailable = true
 	case JournalLost:
 		s.handleJournalLost(e)
-	case RecordsWritten:
+	case JobHistoryWritten:
 		s.handleHistoryWritten(e)
-	case HostLeaving:
+	case WorkerLeaving:
 		if w := s.workers[e.Worker]; w != nil {
 			w.leaving = e.Leaving
 		}
-	case Released:
+	case ReleaseRequested:
 		s.phase = phaseReleasing
 		s.writeSoon = true
 	case Tick:
@@ -215,7 +215,7 @@
 
 func (s *Shard) emit(a Action) { s.actions = append(s.actions, a) }
 
-func (s *Shard) recordDecision(r Record, now time.Time) {
+func (s *Shard) recordDecision(r DecisionRecord, now time.Time) {
 	r.Time = now
 	s.emit(r)
 }
@@ -227,7 +227,7 @@
 	switch e := e.(type) {
 	case JobSubmitted:
 		s.emit(AnswerSubmission{Request: e.Request, Reason: reason})
-	case CancellationAsked:
+	case CancellationRequested:
 		s.emit(AnswerSubmission{Request: e.Request, Reason: reason})
 	}
 }
@@ -258,7 +258,7 @@
 	s.journal = e.Journal
 	s.phase, s.claimedAt, s.lastWriteAt = phaseOwned, now, now
 	s.recoveryPending = e.Journal.Epoch > 1
-	s.history.load(e.Records)
+	s.history.load(e.JobHistory)
 	s.version, s.durableVersion = 1, 1
 	for _, b := range e.Journal.Jobs {
 		t := &task{JobEntry: b, kind: commander.KindBatch, submittedVersion: 1, changedVersion: 1, inherited: true}
@@ -323,8 +323,8 @@
 		p.Quotas[t.Name] = t.Quota
 	}
 	for _, w := range c.Workers {
-		if !slices.Contains(p.Fleet, w.Capacity) {
-			p.Fleet = append(p.Fleet, w.Capacity)
+		if !slices.Contains(p.WorkerSizes, w.Capacity) {
+			p.WorkerSizes = append(p.WorkerSizes, w.Capacity)
 		}
 	}
 	return p
@@ -414,7 +414,7 @@
 		for _, w := range s.sortedWorkers() {
 			s.sendCommands(w, now)
 		}
-	case WorkerFenced:
+	case WorkerEpochAccepted:
 		s.sendCommandsTo(e.Worker, now)
 	case ReportArrived:
 		s.sendCommandsTo(e.Worker, now)
@@ -490,5 +490,5 @@
 	}
 }
 
-// Released reports whether the shard was released or lost.
-func (s *Shard) Released() bool { return s.phase == phaseLost }
+// Ended reports whether the shard was released or lost.
+func (s *Shard) Ended() bool { return s.phase == phaseLost }
--- a/internal/scheduler/shard_test.go
+++ b/internal/scheduler/shard_test.go
@@ -24,7 +24,7 @@
 	sequence     uint64
 	sentCommands []commander.Command
 	answers      []scheduler.AnswerSubmission
-	decisions    []scheduler.Record
+	decisions    []scheduler.DecisionRecord
 	importedFrom []string
 	journal      scheduler.Journal
 	tasks        []commander.TaskReport
@@ -61,8 +61,8 @@
 			d.journal, _ = scheduler.DecodeJournal("a/0", a.Value)
 			d.step(scheduler.JournalWritten{Sequence: a.Sequence})
 		case scheduler.SendFence:
-			d.step(scheduler.WorkerFenced{Worker: "w1", Epoch: a.Epoch, Report: d.report(a.Epoch), SentAt: d.now, ReceivedAt: d.now})
-		case scheduler.AskReport:
+			d.step(scheduler.WorkerEpochAccepted{Worker: "w1", Epoch: a.Epoch, Report: d.report(a.Epoch), SentAt: d.now, ReceivedAt: d.now})
+		case scheduler.RequestReport:
 			d.step(scheduler.ReportArrived{Worker: "w1", Report: d.report(d.journal.Epoch), SentAt: d.now, ReceivedAt: d.now})
 		case scheduler.SendCommands:
 			d.sentCommands = append(d.sentCommands, a.Commands...)
@@ -71,7 +71,7 @@
 			d.answers = append(d.answers, a)
 		case scheduler.AnswerImport:
 			d.importedFrom = append(d.importedFrom, a.From)
-		case scheduler.Record:
+		case scheduler.DecisionRecord:
 			d.decisions = append(d.decisions, a)
 		}
 	}
@@ -89,7 +89,7 @@
 func (d *driver) runFor(t time.Duration) {
 	for end := d.now.Add(t); d.now.Before(end); {
 		d.now = d.now.Add(scheduler.TickInterval)
-		d.step(scheduler.TenureChanged{Placing: d.now.Add(3 * time.Second), Running: d.now.Add(15 * time.Second)})
+		d.step(scheduler.OwnershipLeaseChanged{PlacingUntil: d.now.Add(3 * time.Second), RunningUntil: d.now.Add(15 * time.Second)})
 		d.step(scheduler.Tick{})
 	}
 }
@@ -216,7 +216,7 @@
 	value, err := d.journal.Encode()
 	is.NoErr(err)
 	is.True(refused > 0)
-	is.True(len(value) < scheduler.MaxJournalSize)
+	is.True(len(value) < scheduler.MaxJournalBytes)
 	t.Logf("%d of 2000 accepted at once, journal of %d bytes", 2000-refused, len(value))
 }
 
--- a/internal/scheduler/work.go
+++ b/internal/scheduler/work.go
@@ -89,7 +89,7 @@
 		}
 		w.pollOutstanding, w.polledAt = true, now
 		if w.epochAccepted {
-			s.emit(AskReport{Worker: w.name, Address: w.config.Address})
+			s.emit(RequestReport{Worker: w.name, Address: w.config.Address})
 		} else {
 			s.emit(SendFence{Worker: w.name, Address: w.config.Address, Epoch: s.journal.Epoch})
 		}
@@ -98,7 +98,7 @@
 
 // handleWorkerFenced records that a worker has accepted the owner's epoch and merges its
 // report.
-func (s *Shard) handleWorkerFenced(e WorkerFenced, now time.Time) {
+func (s *Shard) handleWorkerFenced(e WorkerEpochAccepted, now time.Time) {
 	w := s.workers[e.Worker]
 	if w == nil {
 		return
@@ -110,7 +110,7 @@
 	first := !w.epochAcceptedOnce
 	w.epochAccepted, w.epochAcceptedOnce, w.superseded = true, true, false
 	if first {
-		s.recordDecision(Record{ID: w.name, Kind: recorder.KindAdopt, Rule: "WorkerFenced", Worker: w.name, Cause: "report merged"}, now)
+		s.recordDecision(DecisionRecord{ID: w.name, Kind: recorder.KindAdopt, Rule: "WorkerFenced", Worker: w.name, Cause: "report merged"}, now)
 	}
 	s.mergeReport(w, e.Report, e.SentAt, e.ReceivedAt, now)
 }
@@ -141,13 +141,13 @@
 
 // handleWorkerRejected records that a worker has accepted a higher epoch, so that it gets
 // no more commands from this owner.
-func (s *Shard) handleWorkerRejected(e WorkerRejected, now time.Time) {
+func (s *Shard) handleWorkerRejected(e WorkerSuperseded, now time.Time) {
 	w := s.workers[e.Worker]
 	if w == nil {
 		return
 	}
 	if !w.superseded {
-		s.recordDecision(Record{ID: w.name, Kind: recorder.KindRefuse, Rule: "HigherEpoch", Worker: w.name, Cause: "the worker has accepted a higher epoch"}, now)
+		s.recordDecision(DecisionRecord{ID: w.name, Kind: recorder.KindRefuse, Rule: "HigherEpoch", Worker: w.name, Cause: "the worker has accepted a higher epoch"}, now)
 	}
 	w.pollOutstanding, w.epochAccepted, w.superseded = false, false, true
 	w.markOutcomeUnknown()
@@ -226,7 +226,7 @@
 		if o == nil {
 			o = &unassignedTask{}
 			if t == nil && s.history.find(tr.Task) == nil && tr.State.Active() {
-				s.recordDecision(Record{ID: tr.Task, Kind: recorder.KindAdopt, Rule: "UnknownTask", Worker: w.name, Cause: "not in the journal; left running until its lease ends"}, now)
+				s.recordDecision(DecisionRecord{ID: tr.Task, Kind: recorder.KindAdopt, Rule: "UnknownTask", Worker: w.name, Cause: "not in the journal; left running until its lease ends"}, now)
 			}
 		}
 		o.report = tr
@@ -263,7 +263,7 @@
 	}
 	w.tasks[t.Spec.Name] = t
 	s.markChanged(t)
-	s.recordDecision(Record{ID: t.Spec.Name, Kind: recorder.KindAdopt, Rule: "LaterAttemptFound", Worker: w.name, Cause: "started by an earlier owner during a store outage"}, now)
+	s.recordDecision(DecisionRecord{ID: t.Spec.Name, Kind: recorder.KindAdopt, Rule: "LaterAttemptFound", Worker: w.name, Cause: "started by an earlier owner during a store outage"}, now)
 }
 
 // applyTaskReport updates an assigned task from its worker's report.
@@ -279,7 +279,7 @@
 		if !t.startConfirmed {
 			t.startConfirmed = true
 			if t.inherited {
-				s.recordDecision(Record{ID: t.Spec.Name, Kind: recorder.KindAdopt, Rule: "FoundRunning", Worker: w.name, Cause: "attempt matches the journal"}, now)
+				s.recordDecision(DecisionRecord{ID: t.Spec.Name, Kind: recorder.KindAdopt, Rule: "FoundRunning", Worker: w.name, Cause: "attempt matches the journal"}, now)
 			}
 		}
 		if t.State == JobStarting {
@@ -326,7 +326,7 @@
 	case t.kind == commander.KindService:
 		s.removeInstance(t)
 	default:
-		s.recordDecision(Record{ID: t.Spec.Name, Kind: recorder.KindRetry, Rule: "NotOnWorker", Worker: w.name, Cause: "worker does not list the task"}, now)
+		s.recordDecision(DecisionRecord{ID: t.Spec.Name, Kind: recorder.KindRetry, Rule: "NotOnWorker", Worker: w.name, Cause: "worker does not list the task"}, now)
 		s.requeue(t, "worker "+w.name+" lost the task", now)
 	}
 }
@@ -345,7 +345,7 @@
 		s.removeInstance(t)
 	default:
 		t.Evictions++
-		s.recordDecision(Record{ID: t.Spec.Name, Kind: recorder.KindRetry, Rule: "Evicted", Worker: t.Worker, Cause: cause}, now)
+		s.recordDecision(DecisionRecord{ID: t.Spec.Name, Kind: recorder.KindRetry, Rule: "Evicted", Worker: t.Worker, Cause: cause}, now)
 		s.requeue(t, cause, now)
 	}
 }
@@ -371,7 +371,7 @@
 		s.finish(t, JobFailed, "failed too often, last reason: "+reason, now)
 		return
 	}
-	s.recordDecision(Record{ID: t.Spec.Name, Kind: recorder.KindRetry, Rule: "RunFailed", Worker: t.Worker, Cause: reason}, now)
+	s.recordDecision(DecisionRecord{ID: t.Spec.Name, Kind: recorder.KindRetry, Rule: "RunFailed", Worker: t.Worker, Cause: reason}, now)
 	s.requeue(t, "run failed: "+reason, now)
 }
 
@@ -413,9 +413,9 @@
 	s.markChanged(t)
 	switch state {
 	case JobCancelled:
-		s.recordDecision(Record{ID: t.Spec.Name, Kind: recorder.KindCancel, Rule: "Asked", Worker: at, Cause: decision}, now)
+		s.recordDecision(DecisionRecord{ID: t.Spec.Name, Kind: recorder.KindCancel, Rule: "Asked", Worker: at, Cause: decision}, now)
 	case JobFailed, JobRejected:
-		s.recordDecision(Record{ID: t.Spec.Name, Kind: recorder.KindUnschedulable, Rule: "GivenUp", Worker: at, Cause: decision}, now)
+		s.recordDecision(DecisionRecord{ID: t.Spec.Name, Kind: recorder.KindUnschedulable, Rule: "GivenUp", Worker: at, Cause: decision}, now)
 	}
 }
 
@@ -440,7 +440,7 @@
 			case t.kind == commander.KindService:
 				s.expireInstance(w, t, now)
 			case s.leaseEnded(w, t, now):
-				s.recordDecision(Record{ID: name, Kind: recorder.KindRetry, Rule: "LeaseEnded", Worker: w.name, Cause: "worker is unresponsive"}, now)
+				s.recordDecision(DecisionRecord{ID: name, Kind: recorder.KindRetry, Rule: "LeaseEnded", Worker: w.name, Cause: "worker is unresponsive"}, now)
 				s.requeue(t, "worker "+w.name+" is silent", now)
 			}
 		}
@@ -467,7 +467,7 @@
 func (s *Shard) expireInstance(w *worker, t *task, now time.Time) {
 	ended := now.After(t.leaseUntil.Add(leaseDriftMargin))
 	if t.leaseUntil.IsZero() {
-		ended = now.Sub(s.claimedAt) > ServiceLease
+		ended = now.Sub(s.claimedAt) > ServiceLeaseDuration
 	}
 	switch {
 	case ended:
--- a/internal/scheduler/writing.go
+++ b/internal/scheduler/writing.go
@@ -211,7 +211,7 @@
 		return fmt.Sprintf("job class %q is not configured", j.Class)
 	case s.journal.Moved[j.Name] != "":
 		return fmt.Sprintf("job was taken over by shard %s", s.journal.Moved[j.Name])
-	case s.journalBytes+newJobBytes > MaxJournalSize:
+	case s.journalBytes+newJobBytes > MaxJournalBytes:
 		return "the shard's journal is full, retry later"
 	}
 	if j.Team == "" {
@@ -227,7 +227,7 @@
 
 // handleCancellation cancels a job. A job that may be running is first stopped by its
 // worker. The answer follows once the stored journal holds the cancellation.
-func (s *Shard) handleCancellation(e CancellationAsked, now time.Time) {
+func (s *Shard) handleCancellation(e CancellationRequested, now time.Time) {
 	st, ok := s.Job(e.Name)
 	if !ok {
 		s.emit(AnswerSubmission{Request: e.Request, Reason: fmt.Sprintf("job %q is not known", e.Name)})
@@ -361,12 +361,12 @@
 	for _, b := range ended {
 		h.archiving = append(h.archiving, b.Spec.Name)
 	}
-	s.emit(WriteRecords{Value: value})
+	s.emit(WriteJobHistory{Value: value})
 }
 
 // handleHistoryWritten removes the archived jobs from the journal or, if the write failed,
 // from the history.
-func (s *Shard) handleHistoryWritten(e RecordsWritten) {
+func (s *Shard) handleHistoryWritten(e JobHistoryWritten) {
 	s.history.writeOutstanding = false
 	if !e.Done {
 		// The jobs stay in the journal; the next write of the history adds them again.
--- a/internal/server/granter.go
+++ b/internal/server/granter.go
@@ -38,7 +38,7 @@
 	defer g.mu.Unlock()
 	owned := make(map[string]bool)
 	for _, s := range shards {
-		if s.Owner != g.self || s.Placing.IsZero() {
+		if s.Owner != g.self || s.PlacingUntil.IsZero() {
 			continue
 		}
 		owned[s.Shard] = true
@@ -47,7 +47,7 @@
 			a = &shardAllocator{allocator: router.NewAllocator(s.Epoch, maxRequestTimeout, now), epoch: s.Epoch}
 			g.shards[s.Shard] = a
 		}
-		a.placingUntil = s.Placing
+		a.placingUntil = s.PlacingUntil
 		a.allocator.Update(byShard[s.Shard], hosts, settled, now)
 	}
 	for name := range g.shards {
--- a/internal/server/heartbeat.go
+++ b/internal/server/heartbeat.go
@@ -41,7 +41,7 @@
 	}
 	now := time.Now()
 	h.recordIdentity(a.Identity, now)
-	h.owner.Answered(sentAt, a)
+	h.owner.RecordPromises(sentAt, a)
 	h.endpoints.setFreeSlots(l.name, a.Free, now)
 	if sameDomain {
 		if a.HoldFor > 0 {
@@ -89,7 +89,7 @@
 	now := time.Now()
 	h.recordIdentity(m.Identity, now)
 	h.endpoints.setClaims(m.Host, m.Claims)
-	a := messenger.HeartbeatAnswer{Identity: h.identity(m.Host), Promises: h.owner.Promise(m)}
+	a := messenger.HeartbeatAnswer{Identity: h.identity(m.Host), Promises: h.owner.AnswerClaims(m)}
 	if m.FailureDomain == h.settings.FailureDomain {
 		a.HoldFor = h.members.RemainingRequestTime(m.Host, h.maxRequestTimeout()+crashedProcessMargin, now)
 		a.Endpoints = h.owner.Endpoints()
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -71,7 +71,7 @@
 	records    *recorder.Recorder
 	follower   *publisher.Follower
 	publisher  *publisher.Publisher
-	owner      *proprietor.Proprietor
+	owner      *proprietor.Owner
 	dispatcher *dispatcher.Dispatcher
 	forwarder  *forwarder.Forwarder
 	peers      *peerTable
--- a/internal/surveyor/estimate.go
+++ b/internal/surveyor/estimate.go
@@ -514,7 +514,7 @@
 		{"store writes, peak", peak.Store.WritesPerSecond, maxStoreWritesPerSecond, "per second"},
 		{"store reads", peak.Store.ReadsPerSecond, maxStoreReadsPerSecond, "per second"},
 		{"largest value in the store", peak.Store.MaxValueBytes, maxStoreValueBytes, "bytes"},
-		{"a shard's journal", perShard, scheduler.MaxJournalSize, "bytes"},
+		{"a shard's journal", perShard, scheduler.MaxJournalBytes, "bytes"},
 		{"text of the configuration", average.ConfigBytes, configurator.MaxTextBytes, "bytes"},
 	}
 }
--- a/internal/surveyor/shard.go
+++ b/internal/surveyor/shard.go
@@ -61,7 +61,7 @@
 	d.jobs = len(j.Jobs)
 	d.handle(scheduler.ConfigurationChanged{Configuration: c})
 	d.handle(scheduler.Claimed{Journal: j})
-	d.handle(scheduler.TenureChanged{Placing: d.now.Add(time.Hour), Running: d.now.Add(time.Hour), EarlierEnds: d.now})
+	d.handle(scheduler.OwnershipLeaseChanged{PlacingUntil: d.now.Add(time.Hour), RunningUntil: d.now.Add(time.Hour), EarlierOwnersEndAt: d.now})
 	d.advance(3*time.Second, 0) // the workers accept the epoch, and their reports are merged
 	return d
 }
@@ -102,8 +102,8 @@
 func (d *shardDriver) execute(a scheduler.Action) {
 	switch a := a.(type) {
 	case scheduler.SendFence:
-		d.queue = append(d.queue, scheduler.WorkerFenced{Worker: a.Worker, Epoch: a.Epoch, Report: d.report(a.Worker), SentAt: d.now, ReceivedAt: d.now})
-	case scheduler.AskReport:
+		d.queue = append(d.queue, scheduler.WorkerEpochAccepted{Worker: a.Worker, Epoch: a.Epoch, Report: d.report(a.Worker), SentAt: d.now, ReceivedAt: d.now})
+	case scheduler.RequestReport:
 		d.queue = append(d.queue, scheduler.ReportArrived{Worker: a.Worker, Report: d.report(a.Worker), SentAt: d.now, ReceivedAt: d.now})
 	case scheduler.SendCommands:
 		d.messages++
@@ -113,10 +113,10 @@
 		d.writes++
 		d.bytes += len(a.Value)
 		d.queue = append(d.queue, scheduler.JournalWritten{Sequence: a.Sequence})
-	case scheduler.Record:
+	case scheduler.DecisionRecord:
 		d.records++
-	case scheduler.WriteRecords:
-		d.queue = append(d.queue, scheduler.RecordsWritten{Done: true})
+	case scheduler.WriteJobHistory:
+		d.queue = append(d.queue, scheduler.JobHistoryWritten{Done: true})
 	}
 }
 
@@ -165,13 +165,13 @@
 	random := rand.New(rand.NewPCG(seed, uint64(workers)))
 	var ws []placer.Worker
 	for i := range workers {
-		w := placer.Worker{Name: workerName(i), Rack: workerName(i / workersPerRack), FailureDomain: firstDomain, Capacity: workerCapacity(i), ReportedAt: startTime, Fenced: true, Version: uint64(i + 1)}
+		w := placer.Worker{Name: workerName(i), Rack: workerName(i / workersPerRack), FailureDomain: firstDomain, Capacity: workerCapacity(i), MeasuredAt: startTime, EpochAccepted: true, Version: uint64(i + 1)}
 		for k := range batch + 3 {
 			t := placer.Task{Name: jobName(i*100 + k), Class: className(random.IntN(jobClassCount)), Team: teamName(random.IntN(200)), Kind: placer.KindBatch, Declared: jobSize, Attempt: 1}
 			if k < 3 {
 				t.Kind, t.Spread, t.Urgent = placer.KindService, serviceName(random.IntN(20)), true
 			}
-			w.Residents = append(w.Residents, placer.Resident{Task: t, Committed: jobSize, Measured: jobSize, Slowdown: 1 + random.Float64()/4, Started: startTime})
+			w.AssignedTasks = append(w.AssignedTasks, placer.AssignedTask{Task: t, Committed: jobSize, Measured: jobSize, Slowdown: 1 + random.Float64()/4, Started: startTime})
 		}
 		ws = append(ws, w)
 	}
--- a/internal/surveyor/store.go
+++ b/internal/surveyor/store.go
@@ -113,7 +113,7 @@
 	for i, w := range c.Workers {
 		workersOf[w.Address] = emulator.NewMachine(emulator.MachineOptions{Name: w.Name, Capacity: w.Capacity, Seed: seed + uint64(i)})
 	}
-	var ps []*proprietor.Proprietor
+	var ps []*proprietor.Owner
 	for i, h := range c.EntryHosts {
 		if h.FailureDomain != firstDomain {
 			continue
@@ -155,7 +155,7 @@
 }
 
 // submitJobs submits jobs at a rate per second and shard for startDuration.
-func (c *StoreCalls) submitJobs(ctx context.Context, ps []*proprietor.Proprietor, shards, rate int) error {
+func (c *StoreCalls) submitJobs(ctx context.Context, ps []*proprietor.Owner, shards, rate int) error {
 	const step = 100 * time.Millisecond
 	var g errgroup.Group
 	var mutex sync.Mutex
@@ -180,7 +180,7 @@
 }
 
 // jobNameInFirstDomain returns the name of a job whose home shard is in the first failure domain.
-func jobNameInFirstDomain(p *proprietor.Proprietor, n int) string {
+func jobNameInFirstDomain(p *proprietor.Owner, n int) string {
 	for k := 0; ; k++ {
 		if name := fmt.Sprintf("%s-%d", jobName(n), k); strings.HasPrefix(p.HomeShard(name), firstDomain+"/") {
 			return name
@@ -190,7 +190,7 @@
 
 // submitJob submits a job to each host until the owner of its home shard answers, and reports
 // whether it was accepted.
-func submitJob(ctx context.Context, ps []*proprietor.Proprietor, name string) bool {
+func submitJob(ctx context.Context, ps []*proprietor.Owner, name string) bool {
 	for _, p := range ps {
 		a, err := p.Submit(ctx, scheduler.JobSpec{Name: name, Class: className(1), Declared: jobSize, Duration: time.Second})
 		if err == nil {
