--- a/cmd/peridotpitch/entry.go
+++ b/cmd/peridotpitch/entry.go
@@ -46,9 +46,9 @@
 	defer closeStore()
 	workers, closeWorkers := platform.NewWorkerClient(s.AdviceAddress, commandTimeout, adviceTimeout)
 	defer closeWorkers()
-	c := coordinator.New(s, coordinator.Peers{
+	c := coordinator.New(s, coordinator.Dependencies{
 		Store: store, Workers: workers, Decoder: platform.Decoder{},
-		Keys: coordinator.Keys{Configuration: platform.ConfigurationKey, Workers: platform.WorkerKeyPrefix},
+		Keys: coordinator.StoreKeys{Configuration: platform.ConfigurationKey, Workers: platform.WorkerKeyPrefix},
 	}, log)
 	shutdown, err := platform.ServeCallers(s.CallerAddress, s.ReadyAddress, c, log)
 	if err != nil {
--- a/internal/coordinator/accept.go
+++ b/internal/coordinator/accept.go
@@ -139,7 +139,7 @@
 	if e.Revision > 0 {
 		return Answer{Outcome: OutcomeDone, State: orchestrator.StateRunning}
 	}
-	return Answer{Outcome: OutcomeGone, Reason: "no such job"}
+	return Answer{Outcome: OutcomeNoSuchJob, Reason: "no such job"}
 }
 
 // Cancel implements Jobs. It stores the cancel request before it answers the caller.
@@ -186,7 +186,7 @@
 	case e.Revision > 0:
 		return Answer{Outcome: OutcomeDone, Reason: "it has ended"}
 	}
-	return Answer{Outcome: OutcomeGone, Reason: "no such job"}
+	return Answer{Outcome: OutcomeNoSuchJob, Reason: "no such job"}
 }
 
 // maxPendingAge is how old the count of pending jobs may be according to the platform's
--- a/internal/coordinator/command_test.go
+++ b/internal/coordinator/command_test.go
@@ -18,7 +18,7 @@
 		"no answer":        {errors.New("timeout"), false, false},
 		"newer leader":     {&RefusedError{Fenced: true, Reason: "fence"}, true, true},
 		"older run":        {&RefusedError{Reason: "old"}, true, false},
-		"unhealthy worker": {&RefusedError{Undone: true, Reason: "status 503"}, false, false},
+		"unhealthy worker": {&RefusedError{NotExecuted: true, Reason: "status 503"}, false, false},
 		"replaced worker":  {&RefusedError{Replaced: true, Reason: "another instance answers"}, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -31,18 +31,18 @@
 	shutdownGracePeriod = 2500 * time.Millisecond
 )
 
-// Peers are the external dependencies of a Coordinator.
-type Peers struct {
+// Dependencies are the external dependencies of a Coordinator.
+type Dependencies struct {
 	Store   storer.TransactionalStore
-	Workers Workers
+	Workers WorkerClient
 	Decoder Decoder
-	Keys    Keys
+	Keys    StoreKeys
 }
 
 // Coordinator runs one entry host and, while it is elected, the leader.
 type Coordinator struct {
 	settings  Settings
-	deps      Peers
+	deps      Dependencies
 	store     storer.TransactionalStore // deps.Store, which also reports each call's result to recordStoreResult
 	log       *slog.Logger
 	metrics   *metrics
@@ -67,7 +67,7 @@
 }
 
 // New returns an entry host that has not been started.
-func New(s Settings, p Peers, log *slog.Logger) *Coordinator {
+func New(s Settings, p Dependencies, log *slog.Logger) *Coordinator {
 	processID := fmt.Sprintf("%s/%x", s.Name, rand.Uint64())
 	c := &Coordinator{
 		settings: s, deps: p, log: log, metrics: newMetrics(), processID: processID,
@@ -79,7 +79,7 @@
 	return c
 }
 
-var _ Jobs = (*Coordinator)(nil)
+var _ JobService = (*Coordinator)(nil)
 
 // Run serves until ctx is done, then hands over the leadership if this host has it.
 func (c *Coordinator) Run(ctx context.Context) error {
@@ -299,7 +299,7 @@
 func (c *Coordinator) orchestratorSettings(epoch uint64, confirmed, elected time.Time) orchestrator.Settings {
 	return orchestrator.Settings{
 		Epoch: epoch, ElectedAt: elected, ConfirmedAt: confirmed,
-		Lease: min(runLeaseDuration, c.settings.MaxLease), Authority: leaderLeaseDuration, MaxLease: c.settings.MaxLease,
-		Retention: c.settings.StatusRetention, FarFactor: c.settings.FarFactor,
+		Lease: min(runLeaseDuration, c.settings.MaxLease), LeaderLease: leaderLeaseDuration, MaxLease: c.settings.MaxLease,
+		Retention: c.settings.StatusRetention, RemoteSlowdown: c.settings.FarFactor,
 	}
 }
--- a/internal/coordinator/input.go
+++ b/internal/coordinator/input.go
@@ -66,7 +66,7 @@
 			return inherited, 0, err
 		}
 	}
-	if inherited.Learnt, err = ld.readWorkloadStatistics(ctx); err != nil {
+	if inherited.Statistics, err = ld.readWorkloadStatistics(ctx); err != nil {
 		return inherited, 0, err
 	}
 	recordByID := make(map[string]*orchestrator.Record)
@@ -100,17 +100,17 @@
 	return inherited, revision, nil
 }
 
-func (ld *leadership) readWorkloadStatistics(ctx context.Context) (orchestrator.Experience, error) {
+func (ld *leadership) readWorkloadStatistics(ctx context.Context) (orchestrator.WorkloadStatistics, error) {
 	e, err := ld.c.store.Get(ctx, keyWorkloadStatistics)
 	if err != nil || e.Revision == 0 {
-		return orchestrator.Experience{}, err
+		return orchestrator.WorkloadStatistics{}, err
 	}
-	statistics, err := orchestrator.DecodeExperience(e.Value)
+	statistics, err := orchestrator.DecodeWorkloadStatistics(e.Value)
 	if err != nil {
 		// The statistics can be collected again, so an unreadable value does not stop
 		// the leader.
 		ld.c.log.Error("ExperienceUnreadable", "Cause", err.Error())
-		return orchestrator.Experience{}, nil
+		return orchestrator.WorkloadStatistics{}, nil
 	}
 	return statistics, nil
 }
--- a/internal/coordinator/lead.go
+++ b/internal/coordinator/lead.go
@@ -118,7 +118,7 @@
 func (ld *leadership) apply(e orchestrator.Event) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
-	for _, a := range ld.orch.Step(e, timekeeper.Now()) {
+	for _, a := range ld.orch.Apply(e, timekeeper.Now()) {
 		ld.execute(a)
 	}
 }
@@ -131,13 +131,13 @@
 		ld.enqueueCommand(a.Worker, a)
 	case orchestrator.StopRun:
 		ld.enqueueCommand(a.Worker, a)
-	case orchestrator.PaceRun:
+	case orchestrator.ThrottleRun:
 		ld.enqueueCommand(a.Worker, a)
-	case orchestrator.WatchWorker:
+	case orchestrator.StartPolling:
 		ld.startPoller(a.Worker)
-	case orchestrator.ForgetWorker:
+	case orchestrator.StopPolling:
 		ld.stopPoller(a.ID)
-	case orchestrator.AskAdvice:
+	case orchestrator.RequestAdvice:
 		go ld.requestAdvice(a)
 	case orchestrator.WriteSoon:
 		ld.wakeWriter()
--- a/internal/coordinator/poller.go
+++ b/internal/coordinator/poller.go
@@ -64,7 +64,7 @@
 	}
 	p.cancel()
 	delete(ld.pollers, id)
-	go ld.c.deps.Workers.Forget(p.target.Address)
+	go ld.c.deps.Workers.CloseConnections(p.target.Address)
 }
 
 // enqueueCommand queues a command for a worker. If the worker has no poller or its queue is
@@ -87,8 +87,8 @@
 		ld.apply(orchestrator.StartAnswered{Worker: a.Worker, Task: a.Task, Run: a.Run, Outcome: orchestrator.StartNotSent})
 	case orchestrator.StopRun:
 		ld.apply(orchestrator.StopAnswered{Worker: a.Worker, Task: a.Task, Run: a.Run})
-	case orchestrator.PaceRun:
-		ld.apply(orchestrator.PaceAnswered{Worker: a.Worker, Task: a.Task, Run: a.Run, Percent: a.Percent})
+	case orchestrator.ThrottleRun:
+		ld.apply(orchestrator.ThrottleAnswered{Worker: a.Worker, Task: a.Task, Run: a.Run, Percent: a.Percent})
 	}
 }
 
@@ -97,17 +97,17 @@
 	ld := p.ld
 	for p.ctx.Err() == nil {
 		ld.mu.Lock()
-		r, ok := ld.orch.NextLook(p.target.ID, timekeeper.Now())
+		r, ok := ld.orch.NextPoll(p.target.ID, timekeeper.Now())
 		ld.mu.Unlock()
 		if !ok {
 			return
 		}
 		wait := maxPollWait
-		if r.Brief {
+		if r.ShortWait {
 			wait = maxShortPollWait
 		}
 		sent := timekeeper.Now()
-		a, err := ld.c.deps.Workers.Look(p.ctx, p.target, Look{Fence: ld.term.Revision, Deadline: r.Deadline, AckedUpto: r.AckedUpto, Wait: wait})
+		a, err := ld.c.deps.Workers.Poll(p.ctx, p.target, PollRequest{Fence: ld.term.Revision, LeaseEnd: r.LeaseEnd, AckedUpto: r.AckedUpto, Wait: wait})
 		if p.ctx.Err() != nil {
 			return
 		}
@@ -138,7 +138,7 @@
 }
 
 func (p *poller) handlePollFailure(err error) {
-	f := orchestrator.LookFailed{Worker: p.target.ID}
+	f := orchestrator.PollFailed{Worker: p.target.ID}
 	var refused *RefusedError
 	if errors.As(err, &refused) {
 		f.Replaced, f.Fenced = refused.Replaced, refused.Fenced
@@ -172,10 +172,10 @@
 		answered, fenced := commandResult(ld.c.deps.Workers.Stop(p.ctx, p.target, fence, a))
 		ld.c.metrics.observeCommand("stop", begin)
 		ld.apply(orchestrator.StopAnswered{Worker: a.Worker, Task: a.Task, Run: a.Run, Answered: answered, Fenced: fenced})
-	case orchestrator.PaceRun:
-		answered, _ := commandResult(ld.c.deps.Workers.Pace(p.ctx, p.target, fence, a))
+	case orchestrator.ThrottleRun:
+		answered, _ := commandResult(ld.c.deps.Workers.Throttle(p.ctx, p.target, fence, a))
 		ld.c.metrics.observeCommand("pace", begin)
-		ld.apply(orchestrator.PaceAnswered{Worker: a.Worker, Task: a.Task, Run: a.Run, Percent: a.Percent, Answered: answered})
+		ld.apply(orchestrator.ThrottleAnswered{Worker: a.Worker, Task: a.Task, Run: a.Run, Percent: a.Percent, Answered: answered})
 	}
 }
 
@@ -184,12 +184,12 @@
 func commandResult(err error) (answered, fenced bool) {
 	var refused *RefusedError
 	if errors.As(err, &refused) {
-		return !refused.Replaced && !refused.Undone, refused.Fenced
+		return !refused.Replaced && !refused.NotExecuted, refused.Fenced
 	}
 	return err == nil, false
 }
 
-func (ld *leadership) requestAdvice(a orchestrator.AskAdvice) {
+func (ld *leadership) requestAdvice(a orchestrator.RequestAdvice) {
 	answer, err := ld.c.deps.Workers.Advise(context.Background(), a)
 	if err != nil {
 		ld.c.log.Warn("AdviceFailed", "Step", a.Step, "Cause", err.Error())
--- a/internal/coordinator/store_health_test.go
+++ b/internal/coordinator/store_health_test.go
@@ -15,7 +15,7 @@
 // calls. The leases of its runs would expire although no other host was elected.
 func TestRateLimitedHostBecomesUnready(t *testing.T) {
 	is := is.New(t)
-	c := New(Settings{Name: "a"}, Peers{}, slog.New(slog.DiscardHandler))
+	c := New(Settings{Name: "a"}, Dependencies{}, slog.New(slog.DiscardHandler))
 	c.config.Store(&Configuration{Version: 1})
 	c.recordStoreResult(nil)
 	is.True(c.Ready())
@@ -30,7 +30,7 @@
 // reads are served, while none of its writes are.
 func TestLeaderReportsStoreSilenceWithoutWrites(t *testing.T) {
 	is := is.New(t)
-	c := New(Settings{Name: "a"}, Peers{}, slog.New(slog.DiscardHandler))
+	c := New(Settings{Name: "a"}, Dependencies{}, slog.New(slog.DiscardHandler))
 	c.recordStoreResult(nil)
 	ld := &leadership{c: c}
 	ld.lastConfirmedSent.Store(timekeeper.Now().UnixNano())
--- a/internal/coordinator/types.go
+++ b/internal/coordinator/types.go
@@ -70,8 +70,8 @@
 const (
 	OutcomeDone        Outcome = "done"
 	OutcomeInvalid     Outcome = "invalid"
-	OutcomeUnknown     Outcome = "unknown"     // no such queue
-	OutcomeGone        Outcome = "gone"        // no such job
+	OutcomeNoSuchQueue Outcome = "unknown"     // no such queue
+	OutcomeNoSuchJob   Outcome = "gone"        // no such job
 	OutcomeUnavailable Outcome = "unavailable" // the request was not executed and will not be
 	OutcomeUndecided   Outcome = "undecided"   // the request may have been executed
 )
@@ -84,9 +84,9 @@
 	RetryAfter time.Duration // how long a refused caller should wait before it retries
 }
 
-// Jobs handles callers' requests about jobs. The callers' HTTP server uses it, *Coordinator
+// JobService handles callers' requests about jobs. The callers' HTTP server uses it, *Coordinator
 // implements it.
-type Jobs interface {
+type JobService interface {
 	// Ready reports whether the load balancer should send requests to this host.
 	Ready() bool
 	// Leaving reports whether this host is shutting down.
@@ -111,34 +111,34 @@
 	Address netip.AddrPort
 }
 
-// Look is a poll: a request for a worker's running and ended runs.
-type Look struct {
+// PollRequest is a poll: a request for a worker's running and ended runs.
+type PollRequest struct {
 	Fence     uint64        // epoch of the leader
-	Deadline  time.Duration // new end of the run leases on the worker's clock; 0: unchanged
+	LeaseEnd  time.Duration // new end of the run leases on the worker's clock; 0: unchanged
 	AckedUpto int           // ended runs up to this number are stored and need not be reported again
 	Wait      time.Duration // how long the worker may hold the poll until a run ends
 }
 
 // RefusedError reports that a worker refused a command or a poll.
 type RefusedError struct {
-	Fenced   bool // the worker has accepted a later epoch
-	Replaced bool // another worker instance answers at the address
-	Undone   bool // the worker is unhealthy or busy and did nothing; the command must be repeated
-	Reason   string
+	Fenced      bool // the worker has accepted a later epoch
+	Replaced    bool // another worker instance answers at the address
+	NotExecuted bool // the worker is unhealthy or busy and did nothing; the command must be repeated
+	Reason      string
 }
 
 func (e *RefusedError) Error() string { return fmt.Sprintf("worker refused the command: %s", e.Reason) }
 
-// Workers sends commands and polls to workers, and queries the external policy service.
+// WorkerClient sends commands and polls to workers, and queries the external policy service.
 // After an error that is not a *RefusedError, the command may or may not have been executed.
-type Workers interface {
-	Look(ctx context.Context, t Target, l Look) (orchestrator.LookAnswered, error)
+type WorkerClient interface {
+	Poll(ctx context.Context, t Target, l PollRequest) (orchestrator.PollAnswered, error)
 	Start(ctx context.Context, t Target, fence uint64, s orchestrator.StartRun) orchestrator.StartOutcome
 	Stop(ctx context.Context, t Target, fence uint64, s orchestrator.StopRun) error
-	Pace(ctx context.Context, t Target, fence uint64, p orchestrator.PaceRun) error
-	Advise(ctx context.Context, q orchestrator.AskAdvice) (orchestrator.Advised, error)
-	// Forget closes the connections to a removed worker.
-	Forget(address netip.AddrPort)
+	Throttle(ctx context.Context, t Target, fence uint64, p orchestrator.ThrottleRun) error
+	Advise(ctx context.Context, q orchestrator.RequestAdvice) (orchestrator.AdviceAnswered, error)
+	// CloseConnections closes the connections to a removed worker.
+	CloseConnections(address netip.AddrPort)
 }
 
 // Decoder decodes store entries that other programs write.
@@ -147,8 +147,8 @@
 	Worker(key string, value []byte) (orchestrator.WorkerEntry, error)
 }
 
-// Keys are the store keys that other programs write.
-type Keys struct {
+// StoreKeys are the store keys that other programs write.
+type StoreKeys struct {
 	Configuration string
 	Workers       string // prefix
 }
--- a/internal/coordinator/write.go
+++ b/internal/coordinator/write.go
@@ -123,8 +123,8 @@
 		}
 		tx.Puts = append(tx.Puts, storer.Entry{Key: keyRoster, Value: value})
 	}
-	if batch.Learnt != nil {
-		value, err := orchestrator.EncodeExperience(*batch.Learnt)
+	if batch.Statistics != nil {
+		value, err := orchestrator.EncodeWorkloadStatistics(*batch.Statistics)
 		if err != nil {
 			return storer.Transaction{}, err
 		}
@@ -172,7 +172,7 @@
 // term.
 func (ld *leadership) yieldTo(host string) {
 	ld.mu.Lock()
-	start := ld.loaded && !ld.yielding && ld.orch.KnowsRuns()
+	start := ld.loaded && !ld.yielding && ld.orch.RecordsNameAllRuns()
 	ld.yielding = ld.yielding || start
 	ld.mu.Unlock()
 	if !start {
@@ -187,7 +187,7 @@
 func (ld *leadership) handOver(ctx context.Context, preferred string) {
 	ld.apply(orchestrator.HandOver{})
 	ld.mu.Lock()
-	clean := ld.loaded && ld.orch.KnowsRuns()
+	clean := ld.loaded && ld.orch.RecordsNameAllRuns()
 	ld.handingOver = true
 	for _, p := range ld.pollers {
 		p.cancel()
@@ -212,7 +212,7 @@
 func (ld *leadership) unwritten() bool {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
-	return ld.orch.Unwritten()
+	return ld.orch.HasUnwrittenChanges()
 }
 
 // vacate writes a term without a leader.
--- a/internal/explainer/explain.go
+++ b/internal/explainer/explain.go
@@ -32,7 +32,7 @@
 
 // workerEvents change a worker's state, or the speed limit of best-effort tasks on it.
 var workerEvents = []string{
-	orchestrator.EventWorkerLost, orchestrator.EventWorkerReached, orchestrator.EventWorkerAvoided, orchestrator.EventPace,
+	orchestrator.EventWorkerLost, orchestrator.EventWorkerReached, orchestrator.EventWorkerQuarantined, orchestrator.EventThrottle,
 }
 
 // Explain writes the lines about a job, a task or a worker in order of time, and a summary
--- a/internal/orchestrator/action.go
+++ b/internal/orchestrator/action.go
@@ -11,7 +11,7 @@
 	Task     string
 	Run      int
 	Spec     string
-	Deadline time.Duration // on the worker's clock
+	LeaseEnd time.Duration // on the worker's clock
 	Saved    string        // checkpoint to start from; empty: none
 	Ticket   string        // of the outside policy; empty: none
 }
@@ -23,24 +23,24 @@
 	Run    int
 }
 
-// PaceRun sets the speed limit of a run, in percent of its full speed. The answer comes back
+// ThrottleRun sets the speed limit of a run, in percent of its full speed. The answer comes back
 // as PaceAnswered.
-type PaceRun struct {
+type ThrottleRun struct {
 	Worker  string
 	Task    string
 	Run     int
 	Percent int
 }
 
-// WatchWorker starts polling a worker, or changes its address.
-type WatchWorker struct{ Worker WorkerEntry }
+// StartPolling starts polling a worker, or changes its address.
+type StartPolling struct{ Worker WorkerEntry }
 
-// ForgetWorker ends the polling of a worker.
-type ForgetWorker struct{ ID string }
+// StopPolling ends the polling of a worker.
+type StopPolling struct{ ID string }
 
-// AskAdvice asks the outside policy which of the workers may run a step. The answer comes
+// RequestAdvice asks the outside policy which of the workers may run a step. The answer comes
 // back as Advised.
-type AskAdvice struct {
+type RequestAdvice struct {
 	Step    string
 	Workers []string
 }
@@ -65,12 +65,12 @@
 	Figures string        // these figures, as key=value pairs
 }
 
-func (StartRun) action()     {}
-func (StopRun) action()      {}
-func (PaceRun) action()      {}
-func (WatchWorker) action()  {}
-func (ForgetWorker) action() {}
-func (AskAdvice) action()    {}
-func (WriteSoon) action()    {}
-func (StepDown) action()     {}
-func (Note) action()         {}
+func (StartRun) action()      {}
+func (StopRun) action()       {}
+func (ThrottleRun) action()   {}
+func (StartPolling) action()  {}
+func (StopPolling) action()   {}
+func (RequestAdvice) action() {}
+func (WriteSoon) action()     {}
+func (StepDown) action()      {}
+func (Note) action()          {}
--- a/internal/orchestrator/advice.go
+++ b/internal/orchestrator/advice.go
@@ -69,11 +69,11 @@
 		return
 	}
 	a.pending, a.askedAt = true, o.now
-	o.emit(AskAdvice{Step: s.adviceName(), Workers: names})
+	o.emit(RequestAdvice{Step: s.adviceName(), Workers: names})
 }
 
 // advised applies an answer of the outside policy.
-func (o *Orchestrator) advised(e Advised) {
+func (o *Orchestrator) advised(e AdviceAnswered) {
 	t := o.findTask(e.Step + ".0")
 	if t == nil {
 		return
--- a/internal/orchestrator/bench_test.go
+++ b/internal/orchestrator/bench_test.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// BenchmarkPassWithoutRoom measures the passes of one second while long-running and
+// BenchmarkPassWithoutCapacity measures the passes of one second while long-running and
 // best-effort tasks leave no capacity for 300 short jobs of higher priority.
-func BenchmarkPassWithoutRoom(b *testing.B) {
+func BenchmarkPassWithoutCapacity(b *testing.B) {
 	w := newSimulation(b, 1)
 	for i := range 350 {
 		w.addWorker(fmt.Sprintf("w%03d", i), cores(32, 128), "r0")
--- a/internal/orchestrator/event.go
+++ b/internal/orchestrator/event.go
@@ -10,11 +10,11 @@
 
 // Inherited is the state that an earlier leader left in the store. No task starts before it.
 type Inherited struct {
-	Jobs      []InheritedJob
-	Finished  []Record // jobs in a final state
-	Roster    Roster
-	Learnt    Experience
-	HandedOff bool // the earlier leader stopped sending commands before it wrote its last records
+	Jobs       []InheritedJob
+	Finished   []Record // jobs in a final state
+	Roster     Roster
+	Statistics WorkloadStatistics
+	HandedOff  bool // the earlier leader stopped sending commands before it wrote its last records
 }
 
 // InheritedJob is a job in the store.
@@ -36,15 +36,15 @@
 
 // WorkerEntry is a worker as the platform's discovery lists it.
 type WorkerEntry struct {
-	ID       string
-	Service  string
-	Address  netip.AddrPort
-	Zone     string
-	Rack     string
-	Labels   []string
-	Room     Resources
-	Draining bool
-	Warmup   time.Duration // how much longer the worker is slow after its start
+	ID            string
+	Service       string
+	Address       netip.AddrPort
+	FailureDomain string
+	Rack          string
+	Labels        []string
+	Capacity      Resources
+	Draining      bool
+	Warmup        time.Duration // how much longer the worker is slow after its start
 }
 
 // WorkersListed reports the complete list of workers.
@@ -56,8 +56,8 @@
 // WorkerUnlisted reports that a worker's entry has been removed.
 type WorkerUnlisted struct{ ID string }
 
-// RunningRow is a run that a worker lists as running.
-type RunningRow struct {
+// RunningRun is a run that a worker lists as running.
+type RunningRun struct {
 	Task    string
 	Run     int
 	Saved   string
@@ -65,42 +65,42 @@
 	Figure  int // tail latency in ms of a task with a latency target, else millicores in use; 0: unknown
 }
 
-// EndHow is how a run ended.
-type EndHow string
+// EndCause is how a run ended.
+type EndCause string
 
 // Values of EndHow.
 const (
-	EndDone           EndHow = "done"
-	EndFailed         EndHow = "failed"
-	EndStopped        EndHow = "stopped"
-	EndLapsed         EndHow = "lapsed" // its lease ended
-	EndGangBroken     EndHow = "broken" // another member of its gang has ended
-	EndGangIncomplete EndHow = "alone"  // the other members of its gang have not started
+	EndDone           EndCause = "done"
+	EndFailed         EndCause = "failed"
+	EndStopped        EndCause = "stopped"
+	EndExpired        EndCause = "lapsed" // its lease ended
+	EndGangBroken     EndCause = "broken" // another member of its gang has ended
+	EndGangIncomplete EndCause = "alone"  // the other members of its gang have not started
 )
 
-// EndedRow is a run that a worker lists as ended.
-type EndedRow struct {
+// EndedRun is a run that a worker lists as ended.
+type EndedRun struct {
 	Number int // of the end, increasing within one incarnation of the worker
 	Task   string
 	Run    int
-	How    EndHow
+	How    EndCause
 	Saved  string
 }
 
-// LookAnswered is a worker's answer to a poll.
-type LookAnswered struct {
-	Worker     string
-	Born       int64         // identifies the incarnation
-	Clock      time.Duration // the worker's clock
-	SentAt     time.Time
-	ReceivedAt time.Time
-	Running    []RunningRow
-	Ended      []EndedRow
-	DrainLeft  time.Duration // how long a draining worker still serves; 0: unknown
+// PollAnswered is a worker's answer to a poll.
+type PollAnswered struct {
+	Worker         string
+	Incarnation    int64         // identifies the incarnation
+	Clock          time.Duration // the worker's clock
+	SentAt         time.Time
+	ReceivedAt     time.Time
+	Running        []RunningRun
+	Ended          []EndedRun
+	DrainRemaining time.Duration // how long a draining worker still serves; 0: unknown
 }
 
-// LookFailed reports that a poll got no usable answer.
-type LookFailed struct {
+// PollFailed reports that a poll got no usable answer.
+type PollFailed struct {
 	Worker   string
 	Replaced bool // another worker answers at the address: this one has ended
 	Fenced   bool // the worker has accepted a later leader
@@ -111,17 +111,17 @@
 
 // Values of StartOutcome.
 const (
-	StartAccepted  StartOutcome = "accepted"
-	StartFenced    StartOutcome = "fenced"    // the worker has accepted a later leader
-	StartOld       StartOutcome = "old"       // the run was stopped or has ended on the worker
-	StartLate      StartOutcome = "late"      // the lease had ended when the start arrived
-	StartNoRoom    StartOutcome = "no room"   // the worker has too little free capacity
-	StartNoTicket  StartOutcome = "no ticket" // the outside policy's ticket is missing or no longer valid
-	StartUnhealthy StartOutcome = "unhealthy" // the worker is unhealthy and has not started the run
-	StartInvalid   StartOutcome = "invalid"
-	StartReplaced  StartOutcome = "replaced"   // another worker answers at the address
-	StartNotSent   StartOutcome = "not sent"   // the start has not left this host
-	StartUnknown   StartOutcome = "unanswered" // the run may have started, or may start later
+	StartAccepted   StartOutcome = "accepted"
+	StartFenced     StartOutcome = "fenced"    // the worker has accepted a later leader
+	StartSuperseded StartOutcome = "old"       // the run was stopped or has ended on the worker
+	StartExpired    StartOutcome = "late"      // the lease had ended when the start arrived
+	StartNoCapacity StartOutcome = "no room"   // the worker has too little free capacity
+	StartNoTicket   StartOutcome = "no ticket" // the outside policy's ticket is missing or no longer valid
+	StartUnhealthy  StartOutcome = "unhealthy" // the worker is unhealthy and has not started the run
+	StartInvalid    StartOutcome = "invalid"
+	StartReplaced   StartOutcome = "replaced"   // another worker answers at the address
+	StartNotSent    StartOutcome = "not sent"   // the start has not left this host
+	StartUnanswered StartOutcome = "unanswered" // the run may have started, or may start later
 )
 
 // StartAnswered reports the outcome of a StartRun.
@@ -141,8 +141,8 @@
 	Fenced   bool
 }
 
-// PaceAnswered reports the outcome of a PaceRun.
-type PaceAnswered struct {
+// ThrottleAnswered reports the outcome of a PaceRun.
+type ThrottleAnswered struct {
 	Worker   string
 	Task     string
 	Run      int
@@ -156,8 +156,8 @@
 // Written reports that a batch from NextBatch is in the store.
 type Written struct{ Batch Batch }
 
-// Advised is the outside policy's answer to an AskAdvice.
-type Advised struct {
+// AdviceAnswered is the outside policy's answer to an AskAdvice.
+type AdviceAnswered struct {
 	Step    string // as in the request
 	Asked   []string
 	Tickets map[string]string // by worker; workers without one are not allowed
@@ -176,19 +176,19 @@
 	WallOffset time.Duration
 }
 
-func (Inherited) event()       {}
-func (JobAccepted) event()     {}
-func (CancelRequested) event() {}
-func (WorkersListed) event()   {}
-func (WorkerListed) event()    {}
-func (WorkerUnlisted) event()  {}
-func (LookAnswered) event()    {}
-func (LookFailed) event()      {}
-func (StartAnswered) event()   {}
-func (StopAnswered) event()    {}
-func (PaceAnswered) event()    {}
-func (Confirmed) event()       {}
-func (Written) event()         {}
-func (Advised) event()         {}
-func (HandOver) event()        {}
-func (Tick) event()            {}
+func (Inherited) event()        {}
+func (JobAccepted) event()      {}
+func (CancelRequested) event()  {}
+func (WorkersListed) event()    {}
+func (WorkerListed) event()     {}
+func (WorkerUnlisted) event()   {}
+func (PollAnswered) event()     {}
+func (PollFailed) event()       {}
+func (StartAnswered) event()    {}
+func (StopAnswered) event()     {}
+func (ThrottleAnswered) event() {}
+func (Confirmed) event()        {}
+func (Written) event()          {}
+func (AdviceAnswered) event()   {}
+func (HandOver) event()         {}
+func (Tick) event()             {}
--- a/internal/orchestrator/event_names.go
+++ b/internal/orchestrator/event_names.go
@@ -2,29 +2,29 @@
 
 // Values of Note.Event. docs/OPERATIONS.md explains each.
 const (
-	EventJobAdded      = "JobAdded"
-	EventJobFinished   = "JobFinished"
-	EventStart         = "Start"
-	EventStartRefused  = "StartRefused"
-	EventStop          = "Stop"
-	EventCopy          = "Copy"
-	EventEnd           = "End"
-	EventAdopt         = "Adopt"
-	EventRunLost       = "RunLost"
-	EventWait          = "Wait"
-	EventPace          = "Pace"
-	EventAdvice        = "Advice"
-	EventLoad          = "Load"
-	EventWorkerListed  = "WorkerListed"
-	EventWorkerReached = "WorkerReached"
-	EventWorkerLost    = "WorkerLost"
-	EventWorkerAvoided = "WorkerAvoided"
+	EventJobAdded          = "JobAdded"
+	EventJobFinished       = "JobFinished"
+	EventStart             = "Start"
+	EventStartRefused      = "StartRefused"
+	EventStop              = "Stop"
+	EventCopy              = "Copy"
+	EventEnd               = "End"
+	EventAdopt             = "Adopt"
+	EventRunLost           = "RunLost"
+	EventWait              = "Wait"
+	EventThrottle          = "Pace"
+	EventAdvice            = "Advice"
+	EventLoad              = "Load"
+	EventWorkerListed      = "WorkerListed"
+	EventWorkerReached     = "WorkerReached"
+	EventWorkerLost        = "WorkerLost"
+	EventWorkerQuarantined = "WorkerAvoided"
 )
 
 // Events returns all values of Note.Event.
 func Events() []string {
 	return []string{
 		EventJobAdded, EventJobFinished, EventStart, EventStartRefused, EventStop, EventCopy, EventEnd, EventAdopt,
-		EventRunLost, EventWait, EventPace, EventAdvice, EventLoad, EventWorkerListed, EventWorkerReached, EventWorkerLost, EventWorkerAvoided,
+		EventRunLost, EventWait, EventThrottle, EventAdvice, EventLoad, EventWorkerListed, EventWorkerReached, EventWorkerLost, EventWorkerQuarantined,
 	}
 }
--- a/internal/orchestrator/interference.go
+++ b/internal/orchestrator/interference.go
@@ -205,7 +205,7 @@
 }
 
 func (w *worker) bestEffortLoad(s *Step, percent int) float64 {
-	return float64(s.Size.CPU) * float64(percent) / 100 / float64(max(1, w.Room.CPU))
+	return float64(s.Size.CPU) * float64(percent) / 100 / float64(max(1, w.Capacity.CPU))
 }
 
 // headrooms returns the headroom of each latency-critical image on a worker.
@@ -218,7 +218,7 @@
 	}
 	w.headroomsValid, w.headroomsAt, w.headrooms = true, o.now, w.headrooms[:0]
 	loads := w.bestEffortLoads((*run).effectiveSpeed)
-	total := float64(w.load.bestEffort) / float64(max(1, w.Room.CPU))
+	total := float64(w.load.bestEffort) / float64(max(1, w.Capacity.CPU))
 	for _, r := range w.runs {
 		if r.task.step.LatencyTarget <= 0 {
 			continue
@@ -236,7 +236,7 @@
 
 // updateInterference passes the tail latencies from a poll of a worker to the model, unless
 // its best-effort tasks have changed within measurementDelay.
-func (o *Orchestrator) updateInterference(w *worker, rows []RunningRow) {
+func (o *Orchestrator) updateInterference(w *worker, rows []RunningRun) {
 	if w.load.latencyCritical == 0 {
 		return
 	}
--- a/internal/orchestrator/orchestrator.go
+++ b/internal/orchestrator/orchestrator.go
@@ -11,14 +11,14 @@
 
 // Settings are the fixed parameters of an Orchestrator.
 type Settings struct {
-	Epoch       uint64        // store revision of the leader's election
-	ElectedAt   time.Time     // when the leader learned that it had won the election
-	ConfirmedAt time.Time     // when the request that won the election was sent
-	Lease       time.Duration // of runs on workers
-	Authority   time.Duration // how long after a confirmation leases may last
-	MaxLease    time.Duration // workers shorten longer leases to this
-	Retention   time.Duration // how long the records of finished jobs are kept
-	FarFactor   float64       // slowdown of a task away from its data, or of a gang on several racks
+	Epoch          uint64        // store revision of the leader's election
+	ElectedAt      time.Time     // when the leader learned that it had won the election
+	ConfirmedAt    time.Time     // when the request that won the election was sent
+	Lease          time.Duration // of runs on workers
+	LeaderLease    time.Duration // how long after a confirmation leases may last
+	MaxLease       time.Duration // workers shorten longer leases to this
+	Retention      time.Duration // how long the records of finished jobs are kept
+	RemoteSlowdown float64       // slowdown of a task away from its data, or of a gang on several racks
 }
 
 const (
@@ -131,18 +131,18 @@
 }
 
 type task struct {
-	step           *step
-	index          int
-	name           string
-	nextRun        int    // number of the next run
-	done           bool   // a run has succeeded
-	failed         []int  // numbers of the failed runs
-	saved          string // reference to the last checkpoint
-	runs           []*run
-	expiredRuns    map[int]bool    // runs whose lease or worker ended without a report
-	moves          int             // away from bad workers
-	avoidedWorkers map[string]bool // workers on which a run failed or was too slow
-	waitingSince   time.Time       // when the last run ended, or the step became ready
+	step              *step
+	index             int
+	name              string
+	nextRun           int    // number of the next run
+	done              bool   // a run has succeeded
+	failed            []int  // numbers of the failed runs
+	saved             string // reference to the last checkpoint
+	runs              []*run
+	expiredRuns       map[int]bool    // runs whose lease or worker ended without a report
+	moves             int             // away from bad workers
+	unsuitableWorkers map[string]bool // workers on which a run failed or was too slow
+	waitingSince      time.Time       // when the last run ended, or the step became ready
 	// nextPreemption is the earliest time at which other tasks may be stopped for this one.
 	nextPreemption time.Time
 
@@ -165,8 +165,8 @@
 	}
 }
 
-// Step applies an event and returns the actions that the caller must execute, in order.
-func (o *Orchestrator) Step(e Event, now time.Time) []Action {
+// Apply applies an event and returns the actions that the caller must execute, in order.
+func (o *Orchestrator) Apply(e Event, now time.Time) []Action {
 	o.now, o.actions = now, nil
 	switch e := e.(type) {
 	case Inherited:
@@ -181,15 +181,15 @@
 		o.listWorker(e.Worker)
 	case WorkerUnlisted:
 		o.unlistWorker(e.ID)
-	case LookAnswered:
+	case PollAnswered:
 		o.pollAnswered(e)
-	case LookFailed:
+	case PollFailed:
 		o.pollFailed(e)
 	case StartAnswered:
 		o.startAnswered(e)
 	case StopAnswered:
 		o.stopAnswered(e)
-	case PaceAnswered:
+	case ThrottleAnswered:
 		o.throttleAnswered(e)
 	case Confirmed:
 		if e.SentAt.After(o.confirmedAt) {
@@ -197,7 +197,7 @@
 		}
 	case Written:
 		o.batchWritten(e.Batch)
-	case Advised:
+	case AdviceAnswered:
 		o.advised(e)
 	case HandOver:
 		o.handOver()
@@ -226,10 +226,10 @@
 	}
 }
 
-// KnowsRuns reports whether the records after a HandOver name the workers of all runs. They
+// RecordsNameAllRuns reports whether the records after a HandOver name the workers of all runs. They
 // do not if an earlier leader, which did not hand over, may have started tasks on a worker
 // that has not answered this leader yet.
-func (o *Orchestrator) KnowsRuns() bool {
+func (o *Orchestrator) RecordsNameAllRuns() bool {
 	if !o.inherited {
 		return false
 	}
@@ -279,7 +279,7 @@
 			continue
 		}
 		usable++
-		cores += w.Room.CPU
+		cores += w.Capacity.CPU
 		counted += w.used.CPU - w.load.latencyCritical
 		latencyCritical += w.load.latencyCritical
 		bestEffort += w.load.bestEffort
@@ -301,7 +301,7 @@
 // inherit takes over the state that an earlier leader left in the store.
 func (o *Orchestrator) inherit(e Inherited) {
 	o.inherited, o.handedOff, o.passDue = true, e.HandedOff, true
-	o.restoreWorkloadStatistics(e.Learnt)
+	o.restoreWorkloadStatistics(e.Statistics)
 	for _, r := range e.Finished {
 		o.finished[r.ID] = finishedJob{queue: r.Queue, state: r.State, at: r.FinishedAt}
 	}
@@ -321,11 +321,11 @@
 		w.rostered = true
 		if !w.idle {
 			w.inherited = true
-			w.leasesEnd = o.settings.ElectedAt.Add(maxLeaseTime(o.settings.Authority))
+			w.leasesEnd = o.settings.ElectedAt.Add(maxLeaseTime(o.settings.LeaderLease))
 		}
 		if !w.watched && w.Address.IsValid() {
 			w.watched = true
-			o.emit(WatchWorker{Worker: w.WorkerEntry})
+			o.emit(StartPolling{Worker: w.WorkerEntry})
 		}
 	}
 }
--- a/internal/orchestrator/overload_test.go
+++ b/internal/orchestrator/overload_test.go
@@ -96,12 +96,12 @@
 	w := newSimulation(t, 1)
 	w.addWorker("w0", cores(16, 64), "r0")
 	l := w.elect(false)
-	l.step(orchestrator.Inherited{Learnt: orchestrator.Experience{
-		Pairs: []orchestrator.PairExperience{
+	l.step(orchestrator.Inherited{Statistics: orchestrator.WorkloadStatistics{
+		Pairs: []orchestrator.PairStatistics{
 			{Serving: "web", Filler: "calm", Coefficient: 0.01, Samples: 300, Variance: 0.01},
 			{Serving: "web", Filler: "loud", Coefficient: 0.1, Samples: 300, Variance: 0.01}, // the actual coefficient is 4
 		},
-		Images: []orchestrator.ImageExperience{{Image: "web", Idle: 0.22, Mean: 0.45}},
+		Images: []orchestrator.ImageStatistics{{Image: "web", Idle: 0.22, Mean: 0.45}},
 	}})
 	w.run(time.Second)
 	w.submit(latencyCriticalJob("s1", "web", 1, cores(8, 8)))
--- a/internal/orchestrator/place.go
+++ b/internal/orchestrator/place.go
@@ -296,11 +296,11 @@
 // task.
 func (w *worker) unused() int {
 	counted := w.used.CPU - w.load.latencyCritical
-	return w.Room.CPU - counted - int(latencyCriticalUseShare*float64(w.load.latencyCritical)) - w.load.bestEffort
+	return w.Capacity.CPU - counted - int(latencyCriticalUseShare*float64(w.load.latencyCritical)) - w.load.bestEffort
 }
 
 // free returns the worker's capacity that no task has reserved.
-func (w *worker) free() Resources { return w.Room.subtract(w.used) }
+func (w *worker) free() Resources { return w.Capacity.subtract(w.used) }
 
 // atLimit reports whether no more of the step's tasks may run on the worker.
 func (w *worker) atLimit(s *step) bool {
@@ -321,7 +321,7 @@
 // scoreWorker returns a worker's score for a task; the highest is chosen.
 func (o *Orchestrator) scoreWorker(t *task, w *worker) float64 {
 	s := t.step
-	capacity := float64(max(1, w.Room.CPU))
+	capacity := float64(max(1, w.Capacity.CPU))
 	score := float64(w.unused()) / capacity
 	switch {
 	case s.Fills && w.load.latencyCritical > 0:
@@ -335,7 +335,7 @@
 	if s.RackAffinity != "" && s.RackAffinity == w.Rack || s.SameRack && s.rack == w.Rack {
 		score += weightRack
 	}
-	if t.avoidedWorkers[w.ID] {
+	if t.unsuitableWorkers[w.ID] {
 		score -= weightAvoid
 	}
 	if w.slowdown > 1 {
@@ -425,7 +425,7 @@
 		for _, w := range ws {
 			n := s.Count
 			if s.Size.CPU > 0 {
-				n = w.Room.CPU / s.Size.CPU
+				n = w.Capacity.CPU / s.Size.CPU
 			}
 			if s.MaxPerWorker > 0 {
 				n = min(n, s.MaxPerWorker)
@@ -433,7 +433,7 @@
 			fit += n
 		}
 		if fit >= s.Count {
-			return time.Duration((o.settings.FarFactor - 1) * float64(s.expected(o.stats(s.occurrence.job.Policy.Queue).runTimeRatio)))
+			return time.Duration((o.settings.RemoteSlowdown - 1) * float64(s.expected(o.stats(s.occurrence.job.Policy.Queue).runTimeRatio)))
 		}
 	}
 	return 0
--- a/internal/orchestrator/queue.go
+++ b/internal/orchestrator/queue.go
@@ -95,7 +95,7 @@
 	capacity, used := 0, 0
 	for _, w := range o.workersByID() {
 		if ok, _ := o.usable(w); ok {
-			capacity += w.Room.CPU
+			capacity += w.Capacity.CPU
 			used += w.used.CPU
 		}
 	}
--- a/internal/orchestrator/record.go
+++ b/internal/orchestrator/record.go
@@ -163,19 +163,19 @@
 	return r, nil
 }
 
-// Experience holds the measured statistics of images and queues. A successor that had to
+// WorkloadStatistics holds the measured statistics of images and queues. A successor that had to
 // measure them anew would cause latency-critical tasks to miss their targets meanwhile.
-type Experience struct {
-	Pairs  []PairExperience
-	Images []ImageExperience
+type WorkloadStatistics struct {
+	Pairs  []PairStatistics
+	Images []ImageStatistics
 	Ratios map[string]float64 // ratio of measured run times to estimates, by queue
 	// Variances holds the variance of the logarithm of run times within a step, by queue.
 	Variances map[string]float64
 }
 
-// PairExperience is the measured interference of a best-effort image with a latency-critical
+// PairStatistics is the measured interference of a best-effort image with a latency-critical
 // image.
-type PairExperience struct {
+type PairStatistics struct {
 	_msgpack    struct{} `msgpack:",as_array"` //nolint:unused // read by the encoder
 	Serving     string   // latency-critical image
 	Filler      string   // best-effort image
@@ -184,38 +184,38 @@
 	Variance    float64 // of the coefficient
 }
 
-// ImageExperience holds the measured statistics of a latency-critical image.
-type ImageExperience struct {
+// ImageStatistics holds the measured statistics of a latency-critical image.
+type ImageStatistics struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the encoder
 	Image    string
 	Idle     float64 // lowest tail latency as a share of the target
 	Mean     float64 // mean utilization that the tasks' own callers cause
 }
 
-// EncodeExperience returns an experience's value in the store.
-func EncodeExperience(e Experience) ([]byte, error) { return msgpack.Marshal(&e) }
+// EncodeWorkloadStatistics returns an experience's value in the store.
+func EncodeWorkloadStatistics(e WorkloadStatistics) ([]byte, error) { return msgpack.Marshal(&e) }
 
-// DecodeExperience reads a value that EncodeExperience wrote.
-func DecodeExperience(b []byte) (Experience, error) {
-	var e Experience
+// DecodeWorkloadStatistics reads a value that EncodeExperience wrote.
+func DecodeWorkloadStatistics(b []byte) (WorkloadStatistics, error) {
+	var e WorkloadStatistics
 	if err := msgpack.Unmarshal(b, &e); err != nil {
-		return Experience{}, fmt.Errorf("decode experience: %w", err)
+		return WorkloadStatistics{}, fmt.Errorf("decode experience: %w", err)
 	}
 	return e, nil
 }
 
 // workloadStatistics returns the statistics of this leader.
-func (o *Orchestrator) workloadStatistics() *Experience {
-	e := &Experience{Ratios: make(map[string]float64), Variances: make(map[string]float64)}
+func (o *Orchestrator) workloadStatistics() *WorkloadStatistics {
+	e := &WorkloadStatistics{Ratios: make(map[string]float64), Variances: make(map[string]float64)}
 	for critical, pairs := range o.interference.pairs {
 		for bestEffort, p := range pairs {
 			if p.samples > 0 {
-				e.Pairs = append(e.Pairs, PairExperience{Serving: critical, Filler: bestEffort, Coefficient: p.coefficient, Samples: p.samples, Variance: p.covariance[bestEffort]})
+				e.Pairs = append(e.Pairs, PairStatistics{Serving: critical, Filler: bestEffort, Coefficient: p.coefficient, Samples: p.samples, Variance: p.covariance[bestEffort]})
 			}
 		}
 	}
 	for image, mean := range o.interference.meanOwnLoad {
-		e.Images = append(e.Images, ImageExperience{Image: image, Idle: o.interference.idleTailRatio(image), Mean: mean})
+		e.Images = append(e.Images, ImageStatistics{Image: image, Idle: o.interference.idleTailRatio(image), Mean: mean})
 	}
 	for queue, s := range o.queueStats {
 		e.Ratios[queue], e.Variances[queue] = s.runTimeRatio, s.runTimeVariance
@@ -224,7 +224,7 @@
 }
 
 // restoreWorkloadStatistics takes over the statistics of an earlier leader.
-func (o *Orchestrator) restoreWorkloadStatistics(e Experience) {
+func (o *Orchestrator) restoreWorkloadStatistics(e WorkloadStatistics) {
 	for _, p := range e.Pairs {
 		r := o.interference.pair(p.Serving, p.Filler)
 		r.coefficient, r.samples, r.covariance[p.Filler] = p.Coefficient, p.Samples, p.Variance
--- a/internal/orchestrator/record_test.go
+++ b/internal/orchestrator/record_test.go
@@ -23,7 +23,7 @@
 	l := w.leader()
 	w.now = w.now.Add(2 * time.Hour)
 	l.step(orchestrator.Tick{})
-	is.True(l.o.Unwritten())
+	is.True(l.o.HasUnwrittenChanges())
 	for range 2 { // the first write gets no answer
 		b, _ := l.o.NextBatch(9, true, w.now)
 		is.Equal(len(b.Entries), 1)
@@ -31,26 +31,26 @@
 	}
 	b, _ := l.o.NextBatch(9, true, w.now)
 	l.step(orchestrator.Written{Batch: b})
-	is.True(!l.o.Unwritten())
+	is.True(!l.o.HasUnwrittenChanges())
 	is.Equal(w.state("j1"), orchestrator.State(""))
 }
 
 // Guards against a successor that loses the measured interference and has to measure it anew.
-func TestExperienceSurvivesLeaderChange(t *testing.T) {
+func TestWorkloadStatisticsSurviveLeaderChange(t *testing.T) {
 	is := is.New(t)
-	e := orchestrator.Experience{
-		Pairs:  []orchestrator.PairExperience{{Serving: "web", Filler: "loud", Coefficient: 3, Samples: 40, Variance: 0.02}},
-		Images: []orchestrator.ImageExperience{{Image: "web", Idle: 0.22, Mean: 0.5}},
+	e := orchestrator.WorkloadStatistics{
+		Pairs:  []orchestrator.PairStatistics{{Serving: "web", Filler: "loud", Coefficient: 3, Samples: 40, Variance: 0.02}},
+		Images: []orchestrator.ImageStatistics{{Image: "web", Idle: 0.22, Mean: 0.5}},
 		Ratios: map[string]float64{"q": 1.5}, Variances: map[string]float64{"q": 0.09},
 	}
-	b, err := orchestrator.EncodeExperience(e)
+	b, err := orchestrator.EncodeWorkloadStatistics(e)
 	is.NoErr(err)
-	back, err := orchestrator.DecodeExperience(b)
+	back, err := orchestrator.DecodeWorkloadStatistics(b)
 	is.NoErr(err)
 	is.Equal(back, e)
 	w := newSimulation(t, 1)
 	l := w.elect(false)
-	l.step(orchestrator.Inherited{Learnt: back})
+	l.step(orchestrator.Inherited{Statistics: back})
 	next, _ := l.o.NextBatch(9, true, w.now.Add(time.Minute))
-	is.Equal(*next.Learnt, e)
+	is.Equal(*next.Statistics, e)
 }
--- a/internal/orchestrator/run.go
+++ b/internal/orchestrator/run.go
@@ -141,7 +141,7 @@
 		return // sent again once the leadership has been confirmed
 	}
 	r.inFlight, r.sentAt = true, o.now
-	o.emit(StartRun{Worker: r.worker.ID, Task: r.task.name, Run: r.number, Spec: r.task.job().Spec, Deadline: d, Saved: r.saved, Ticket: r.ticket})
+	o.emit(StartRun{Worker: r.worker.ID, Task: r.task.name, Run: r.number, Spec: r.task.job().Spec, LeaseEnd: d, Saved: r.saved, Ticket: r.ticket})
 }
 
 func (o *Orchestrator) startAnswered(e StartAnswered) {
@@ -155,19 +155,19 @@
 		o.emit(Note{Event: EventStartRefused, Job: r.task.job().ID, Task: e.Task, Run: e.Run, Worker: e.Worker, Outcome: string(e.Outcome), Age: o.now.Sub(r.sentAt)})
 	}
 	switch e.Outcome {
-	case StartAccepted, StartOld:
+	case StartAccepted, StartSuperseded:
 		// After StartOld the run has ended there, and the next poll lists its end.
 		o.accepted(r)
 	case StartFenced:
 		o.stepDown("worker " + w.ID + " has accepted a later leader")
 	case StartReplaced:
-		o.pollFailed(LookFailed{Worker: w.ID, Replaced: true})
-	case StartUnknown:
+		o.pollFailed(PollFailed{Worker: w.ID, Replaced: true})
+	case StartUnanswered:
 		r.startUnanswered, w.unansweredAt = true, o.now
 	case StartNotSent:
 		w.unansweredAt = o.now
 		o.startNotExecuted(r)
-	case StartNoRoom:
+	case StartNoCapacity:
 		w.noRoomUntil = o.now.Add(resendInterval)
 		o.startNotExecuted(r)
 	case StartUnhealthy:
@@ -176,7 +176,7 @@
 	case StartNoTicket:
 		r.task.step.advice = advice{}
 		o.startNotExecuted(r)
-	case StartLate, StartInvalid:
+	case StartExpired, StartInvalid:
 		o.startNotExecuted(r)
 	}
 }
@@ -276,7 +276,7 @@
 
 // adopt adds a run that a worker lists and this leader has not started, or has removed. It
 // returns nil if the run must be stopped.
-func (o *Orchestrator) adopt(w *worker, row RunningRow) *run {
+func (o *Orchestrator) adopt(w *worker, row RunningRun) *run {
 	t := o.findTask(row.Task)
 	reason := ""
 	switch {
@@ -302,7 +302,7 @@
 }
 
 // updateRun applies a worker's report of a running run.
-func (o *Orchestrator) updateRun(r *run, row RunningRow) {
+func (o *Orchestrator) updateRun(r *run, row RunningRun) {
 	if row.Saved != "" {
 		r.task.saved = row.Saved
 	}
@@ -328,7 +328,7 @@
 }
 
 // applyEnd applies a worker's report of the end of a run.
-func (o *Orchestrator) applyEnd(w *worker, row EndedRow) {
+func (o *Orchestrator) applyEnd(w *worker, row EndedRun) {
 	t := o.findTask(row.Task)
 	if t == nil {
 		if r := w.runs[runKey{row.Task, row.Run}]; r != nil {
@@ -360,13 +360,13 @@
 	w.unackedEnds = append(w.unackedEnds, appliedEnd{number: row.Number, job: j, version: j.version})
 }
 
-func (o *Orchestrator) noteEnd(r *run, row EndedRow) {
+func (o *Orchestrator) noteEnd(r *run, row EndedRun) {
 	expected := r.task.step.expected(o.stats(r.task.job().Policy.Queue).runTimeRatio)
 	o.emit(Note{Event: EventEnd, Job: r.task.job().ID, Task: row.Task, Run: row.Run, Worker: r.worker.ID, Outcome: string(row.How), Age: o.now.Sub(r.startedAt),
 		Figures: fmt.Sprintf("Expected=%s Pace=%d%% Unused=%.1f Filling=%.1f", expected.Round(time.Millisecond), r.targetSpeed, float64(r.worker.unused())/1000, float64(r.worker.load.bestEffort)/1000)})
 }
 
-func (o *Orchestrator) applyOutcome(t *task, w *worker, row EndedRow) {
+func (o *Orchestrator) applyOutcome(t *task, w *worker, row EndedRun) {
 	j := t.job()
 	switch row.How {
 	case EndDone:
@@ -386,17 +386,17 @@
 		o.recordRunOutcome(w, j, true)
 		t.avoidWorker(w)
 		o.countFailure(t, row.Run)
-	case EndStopped, EndLapsed, EndGangBroken, EndGangIncomplete:
+	case EndStopped, EndExpired, EndGangBroken, EndGangIncomplete:
 		// Not the task's own failure: it starts again and the attempt does not count.
 	}
 }
 
 // avoidWorker lowers a worker's score for the task from now on.
 func (t *task) avoidWorker(w *worker) {
-	if t.avoidedWorkers == nil {
-		t.avoidedWorkers = make(map[string]bool)
+	if t.unsuitableWorkers == nil {
+		t.unsuitableWorkers = make(map[string]bool)
 	}
-	t.avoidedWorkers[w.ID] = true
+	t.unsuitableWorkers[w.ID] = true
 }
 
 // countFailure counts a failed run, and fails the job when the task has used up its attempts.
@@ -418,7 +418,7 @@
 
 // recordRunTime updates the run time statistics by a run that succeeded, began without a
 // checkpoint and was never throttled.
-func (o *Orchestrator) recordRunTime(r *run, row EndedRow) {
+func (o *Orchestrator) recordRunTime(r *run, row EndedRun) {
 	s := r.task.step
 	if row.How != EndDone || r.saved != "" || r.throttled || r.startedAt.IsZero() {
 		return
@@ -499,8 +499,8 @@
 // Batch is a group of changes that are written to the store in one transaction.
 type Batch struct {
 	Entries       []BatchEntry
-	Roster        *Roster     // nil: unchanged
-	Learnt        *Experience // nil: not due
+	Roster        *Roster             // nil: unchanged
+	Statistics    *WorkloadStatistics // nil: not due
 	rosterVersion uint64
 	enrolled      []string // workers that Roster lists as not idle
 }
@@ -546,13 +546,13 @@
 	}
 	if now.Sub(o.statisticsAt) >= statisticsInterval {
 		o.statisticsAt = now
-		b.Learnt = o.workloadStatistics()
+		b.Statistics = o.workloadStatistics()
 	}
 	return b, len(b.Entries) > 0 || b.Roster != nil
 }
 
-// Unwritten reports whether there are changes that the store does not have yet.
-func (o *Orchestrator) Unwritten() bool {
+// HasUnwrittenChanges reports whether there are changes that the store does not have yet.
+func (o *Orchestrator) HasUnwrittenChanges() bool {
 	return len(o.dirty) > 0 || len(o.expired) > 0 || o.rosterWritten < o.rosterVersion
 }
 
--- a/internal/orchestrator/simulation_test.go
+++ b/internal/orchestrator/simulation_test.go
@@ -71,7 +71,7 @@
 	leaseEnd         time.Duration // on the worker's clock
 	runs             map[string]*fakeRun
 	lastEndedRun     map[string]int // highest number of a run that was stopped or has ended, by task
-	ended            []orchestrator.EndedRow
+	ended            []orchestrator.EndedRun
 	endCount         int
 	ackedUpto        int
 	endsBeforeExpiry int // the lease has expired after the ends up to this number
@@ -127,7 +127,7 @@
 
 func (w *simulation) addWorker(name string, capacity orchestrator.Resources, rack string) *fakeWorker {
 	k := &fakeWorker{
-		entry: orchestrator.WorkerEntry{ID: name, Service: "s", Room: capacity, Rack: rack, Labels: []string{"a", rack},
+		entry: orchestrator.WorkerEntry{ID: name, Service: "s", Capacity: capacity, Rack: rack, Labels: []string{"a", rack},
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(len(w.workers) + 1)}), 80)},
 		incarnation: w.now.UnixMilli(), startedAt: w.now, runs: make(map[string]*fakeRun), lastEndedRun: make(map[string]int),
 		unreachableFrom: make(map[*fakeLeader]bool), tailLatencyMs: make(map[string]int),
@@ -152,8 +152,8 @@
 	w.epoch += 100
 	l := &fakeLeader{w: w, id: len(w.leaders), epoch: w.epoch, watched: make(map[string]bool), polledAt: make(map[string]time.Time)}
 	l.o = orchestrator.New(orchestrator.Settings{
-		Epoch: w.epoch, ElectedAt: w.now, ConfirmedAt: w.now, Lease: 4500 * time.Millisecond, Authority: 9 * time.Second,
-		MaxLease: 10 * time.Second, Retention: time.Hour, FarFactor: 3,
+		Epoch: w.epoch, ElectedAt: w.now, ConfirmedAt: w.now, Lease: 4500 * time.Millisecond, LeaderLease: 9 * time.Second,
+		MaxLease: 10 * time.Second, Retention: time.Hour, RemoteSlowdown: 3,
 	})
 	w.leaders = append(w.leaders, l)
 	w.currentLeader = l.id
@@ -201,12 +201,12 @@
 	}
 	if l.frozen {
 		switch e.(type) {
-		case orchestrator.StartAnswered, orchestrator.StopAnswered, orchestrator.PaceAnswered:
+		case orchestrator.StartAnswered, orchestrator.StopAnswered, orchestrator.ThrottleAnswered:
 			l.pendingAnswers = append(l.pendingAnswers, e) // read when the process continues
 		}
 		return
 	}
-	for _, a := range l.o.Step(e, l.w.now) {
+	for _, a := range l.o.Apply(e, l.w.now) {
 		l.handleAction(a)
 	}
 }
@@ -215,18 +215,18 @@
 func (l *fakeLeader) handleAction(a orchestrator.Action) {
 	w := l.w
 	switch a := a.(type) {
-	case orchestrator.WatchWorker:
+	case orchestrator.StartPolling:
 		l.watched[a.Worker.ID] = true
-	case orchestrator.ForgetWorker:
+	case orchestrator.StopPolling:
 		delete(l.watched, a.ID)
 	case orchestrator.StepDown:
 		l.deposed = true
 	case orchestrator.Note:
 		w.notes = append(w.notes, a)
-	case orchestrator.StartRun, orchestrator.StopRun, orchestrator.PaceRun:
+	case orchestrator.StartRun, orchestrator.StopRun, orchestrator.ThrottleRun:
 		// Commands arrive after the step that sent them.
 		w.pendingCommands = append(w.pendingCommands, pendingCommand{at: w.now.Add(time.Millisecond), leader: l, action: a})
-	case orchestrator.WriteSoon, orchestrator.AskAdvice:
+	case orchestrator.WriteSoon, orchestrator.RequestAdvice:
 	}
 }
 
@@ -239,23 +239,23 @@
 		worker = a.Worker
 	case orchestrator.StopRun:
 		worker = a.Worker
-	case orchestrator.PaceRun:
+	case orchestrator.ThrottleRun:
 		worker = a.Worker
 	}
 	k := w.workers[worker]
 	if k == nil || k.dead || k.unreachableFrom[c.leader] {
 		if answered {
-			w.answerCommand(c, orchestrator.StartUnknown)
+			w.answerCommand(c, orchestrator.StartUnanswered)
 		}
 		return
 	}
 	if answered {
 		switch p := w.rng.Float64(); {
 		case p < w.faults.dropped:
-			w.answerCommand(c, orchestrator.StartUnknown)
+			w.answerCommand(c, orchestrator.StartUnanswered)
 			return
 		case p < w.faults.dropped+w.faults.appliedLate:
-			w.answerCommand(c, orchestrator.StartUnknown)
+			w.answerCommand(c, orchestrator.StartUnanswered)
 			c.worker, c.at = worker, w.now.Add(2*time.Second+time.Duration(w.rng.Int64N(int64(10*time.Second))))
 			w.pendingCommands = append(w.pendingCommands, c)
 			return
@@ -269,14 +269,14 @@
 
 // answerCommand passes the outcome of a command to the leader that sent it.
 func (w *simulation) answerCommand(c pendingCommand, outcome orchestrator.StartOutcome) {
-	answered := outcome != orchestrator.StartUnknown
+	answered := outcome != orchestrator.StartUnanswered
 	switch a := c.action.(type) {
 	case orchestrator.StartRun:
 		c.leader.step(orchestrator.StartAnswered{Worker: a.Worker, Task: a.Task, Run: a.Run, Outcome: outcome})
 	case orchestrator.StopRun:
 		c.leader.step(orchestrator.StopAnswered{Worker: a.Worker, Task: a.Task, Run: a.Run, Answered: answered, Fenced: outcome == orchestrator.StartFenced})
-	case orchestrator.PaceRun:
-		c.leader.step(orchestrator.PaceAnswered{Worker: a.Worker, Task: a.Task, Run: a.Run, Percent: a.Percent, Answered: answered})
+	case orchestrator.ThrottleRun:
+		c.leader.step(orchestrator.ThrottleAnswered{Worker: a.Worker, Task: a.Task, Run: a.Run, Percent: a.Percent, Answered: answered})
 	}
 }
 
@@ -304,7 +304,7 @@
 		if r := k.runs[a.Task]; r != nil && r.number == a.Run && !r.stopping {
 			r.stopping, r.endsAt = true, w.now.Add(300*time.Millisecond)
 		}
-	case orchestrator.PaceRun:
+	case orchestrator.ThrottleRun:
 		if r := k.runs[a.Task]; r != nil && r.number == a.Run {
 			r.speed = a.Percent
 		}
@@ -318,12 +318,12 @@
 		return orchestrator.StartAccepted
 	}
 	if a.Run <= k.lastEndedRun[a.Task] || k.runs[a.Task] != nil {
-		return orchestrator.StartOld
+		return orchestrator.StartSuperseded
 	}
-	if a.Deadline <= k.clock(w.now) {
-		return orchestrator.StartLate
+	if a.LeaseEnd <= k.clock(w.now) {
+		return orchestrator.StartExpired
 	}
-	k.leaseEnd = max(k.leaseEnd, min(a.Deadline, k.clock(w.now)+10*time.Second))
+	k.leaseEnd = max(k.leaseEnd, min(a.LeaseEnd, k.clock(w.now)+10*time.Second))
 	w.checkStart(k, a)
 	w.starts++
 	r := &fakeRun{task: a.Task, number: a.Run, startedAt: w.now, endsAt: w.now.Add(w.runTime(a.Task, k)), saved: a.Saved, speed: 100}
@@ -357,7 +357,7 @@
 		used.Memory += size.Memory
 	}
 	size := w.sizeOf(a.Task)
-	if used.CPU+size.CPU > k.entry.Room.CPU || used.Memory+size.Memory > k.entry.Room.Memory {
+	if used.CPU+size.CPU > k.entry.Capacity.CPU || used.Memory+size.Memory > k.entry.Capacity.Memory {
 		w.t.Fatalf("%s: %s does not fit on %s beside %+v: %v%s", w.elapsed(), a.Task, k.entry.ID, used, slices.Sorted(maps.Keys(k.runs)), w.workerHistory(k.entry.ID))
 	}
 }
@@ -410,10 +410,10 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(k.runs)) {
 		r := k.runs[name]
-		how := orchestrator.EndHow("")
+		how := orchestrator.EndCause("")
 		switch {
 		case expired:
-			how = orchestrator.EndLapsed
+			how = orchestrator.EndExpired
 		case r.stopping && !w.now.Before(r.endsAt):
 			how = orchestrator.EndStopped
 		case !r.stopping && !k.hangsTasks && !w.now.Before(r.endsAt) && !w.longRunning(name):
@@ -428,7 +428,7 @@
 		delete(k.runs, name)
 		k.lastEndedRun[name] = max(k.lastEndedRun[name], r.number)
 		k.endCount++
-		k.ended = append(k.ended, orchestrator.EndedRow{Number: k.endCount, Task: name, Run: r.number, How: how, Saved: r.saved})
+		k.ended = append(k.ended, orchestrator.EndedRun{Number: k.endCount, Task: name, Run: r.number, How: how, Saved: r.saved})
 	}
 }
 
@@ -445,24 +445,24 @@
 // poll is one poll of a leader at a worker.
 func (l *fakeLeader) poll(k *fakeWorker) {
 	w := l.w
-	r, ok := l.o.NextLook(k.entry.ID, w.now)
+	r, ok := l.o.NextPoll(k.entry.ID, w.now)
 	if !ok || l.deposed || l.frozen {
 		return
 	}
 	if k.dead || k.unreachableFrom[l] {
-		l.step(orchestrator.LookFailed{Worker: k.entry.ID})
+		l.step(orchestrator.PollFailed{Worker: k.entry.ID})
 		return
 	}
 	if l.epoch < k.fence {
-		l.step(orchestrator.LookFailed{Worker: k.entry.ID, Fenced: true})
+		l.step(orchestrator.PollFailed{Worker: k.entry.ID, Fenced: true})
 		return
 	}
 	k.fence = l.epoch
-	if r.Deadline > 0 {
-		k.leaseEnd = max(k.leaseEnd, min(r.Deadline, k.clock(w.now)+10*time.Second))
+	if r.LeaseEnd > 0 {
+		k.leaseEnd = max(k.leaseEnd, min(r.LeaseEnd, k.clock(w.now)+10*time.Second))
 	}
 	k.acknowledge(w, r.AckedUpto)
-	a := orchestrator.LookAnswered{Worker: k.entry.ID, Born: k.incarnation, Clock: k.clock(w.now), SentAt: w.now, ReceivedAt: w.now}
+	a := orchestrator.PollAnswered{Worker: k.entry.ID, Incarnation: k.incarnation, Clock: k.clock(w.now), SentAt: w.now, ReceivedAt: w.now}
 	for _, name := range slices.Sorted(maps.Keys(k.runs)) {
 		run := k.runs[name]
 		percent := 100
@@ -472,7 +472,7 @@
 		if k.hangsTasks {
 			percent = 1
 		}
-		a.Running = append(a.Running, orchestrator.RunningRow{Task: name, Run: run.number, Percent: percent, Figure: k.tailLatencyMs[name]})
+		a.Running = append(a.Running, orchestrator.RunningRun{Task: name, Run: run.number, Percent: percent, Figure: k.tailLatencyMs[name]})
 	}
 	for _, e := range k.ended {
 		if e.Number > k.ackedUpto {
@@ -537,7 +537,7 @@
 // runs.
 func (l *fakeLeader) handOver() bool {
 	l.step(orchestrator.HandOver{})
-	clean := l.o.KnowsRuns()
+	clean := l.o.RecordsNameAllRuns()
 	for range 1000 {
 		if _, more := l.o.NextBatch(9, true, l.w.now); !more {
 			break
--- a/internal/orchestrator/throttle.go
+++ b/internal/orchestrator/throttle.go
@@ -70,14 +70,14 @@
 		o.setSpeeds(w)
 		if w.minSpeed != before {
 			w.throttledAt = o.now
-			o.emit(Note{Event: EventPace, Worker: w.ID, Outcome: fmt.Sprintf("%d%%", w.minSpeed), Age: o.now.Sub(w.tailAt),
+			o.emit(Note{Event: EventThrottle, Worker: w.ID, Outcome: fmt.Sprintf("%d%%", w.minSpeed), Age: o.now.Sub(w.tailAt),
 				Figures: fmt.Sprintf("Tail=%.2f Before=%d%%", w.tailRatio, before)})
 		}
 	}
 	for _, r := range w.runs {
 		if r.task.step.Fills && r.phase == phaseRunning && r.confirmedSpeed != r.targetSpeed && !r.throttleInFlight && (r.confirmedSpeed >= 0 || o.now.Sub(r.throttleSentAt) >= throttleResendInterval) {
 			r.throttleInFlight, r.throttleSentAt = true, o.now
-			o.emit(PaceRun{Worker: w.ID, Task: r.task.name, Run: r.number, Percent: r.targetSpeed})
+			o.emit(ThrottleRun{Worker: w.ID, Task: r.task.name, Run: r.number, Percent: r.targetSpeed})
 		}
 	}
 }
@@ -173,7 +173,7 @@
 	return true
 }
 
-func (o *Orchestrator) throttleAnswered(e PaceAnswered) {
+func (o *Orchestrator) throttleAnswered(e ThrottleAnswered) {
 	r := o.findRun(e.Worker, e.Task, e.Run)
 	if r == nil {
 		return
--- a/internal/orchestrator/worker.go
+++ b/internal/orchestrator/worker.go
@@ -143,7 +143,7 @@
 	w := o.worker(e.ID)
 	if !w.listed || w.Draining != e.Draining {
 		o.emit(Note{Event: EventWorkerListed, Worker: e.ID, Outcome: listOutcome(e),
-			Figures: fmt.Sprintf("Service=%s FailureDomain=%s Rack=%s Cores=%.1f", e.Service, e.Zone, e.Rack, float64(e.Room.CPU)/1000)})
+			Figures: fmt.Sprintf("Service=%s FailureDomain=%s Rack=%s Cores=%.1f", e.Service, e.FailureDomain, e.Rack, float64(e.Capacity.CPU)/1000)})
 	}
 	if e.Draining && !w.Draining {
 		w.drainLeftAt = o.now
@@ -152,7 +152,7 @@
 	w.WorkerEntry, w.listed = e, true
 	if !w.watched || moved {
 		w.watched = true
-		o.emit(WatchWorker{Worker: e})
+		o.emit(StartPolling{Worker: e})
 	}
 	o.enroll(w)
 	o.passDue = true
@@ -194,24 +194,24 @@
 
 // PollRequest holds the parameters of the next poll of a worker.
 type PollRequest struct {
-	Deadline  time.Duration // on the worker's clock; 0: leases are not extended
+	LeaseEnd  time.Duration // on the worker's clock; 0: leases are not extended
 	AckedUpto int           // ends up to this number are in the store
-	Brief     bool          // the worker's figures are needed soon: it waits for changes only briefly
+	ShortWait bool          // the worker's figures are needed soon: it waits for changes only briefly
 }
 
-// NextLook returns the parameters of the next poll of a worker, and false if it must not be
+// NextPoll returns the parameters of the next poll of a worker, and false if it must not be
 // polled any more.
-func (o *Orchestrator) NextLook(id string, now time.Time) (PollRequest, bool) {
+func (o *Orchestrator) NextPoll(id string, now time.Time) (PollRequest, bool) {
 	w := o.workers[id]
 	if w == nil || o.deposed || o.leaving {
 		return PollRequest{}, false
 	}
 	o.now = now
-	r := PollRequest{AckedUpto: w.ackedUpto, Brief: w.load.latencyCritical > 0 && w.load.bestEffort > 0 || len(w.runs) == 0 && !w.resolved}
+	r := PollRequest{AckedUpto: w.ackedUpto, ShortWait: w.load.latencyCritical > 0 && w.load.bestEffort > 0 || len(w.runs) == 0 && !w.resolved}
 	// A poll without an answer may still have arrived. If each try extended the leases of an
 	// unreachable worker, its runs would never expire.
 	if len(w.runs) > 0 && !w.unreachable {
-		r.Deadline, _ = o.deadline(w)
+		r.LeaseEnd, _ = o.deadline(w)
 	}
 	return r, true
 }
@@ -226,7 +226,7 @@
 // that the worker may run tasks until then. It returns false if the lease would be shorter
 // than minLease.
 func (o *Orchestrator) deadline(w *worker) (time.Duration, bool) {
-	lease := min(o.settings.Lease, o.confirmedAt.Add(o.settings.Authority).Sub(o.now))
+	lease := min(o.settings.Lease, o.confirmedAt.Add(o.settings.LeaderLease).Sub(o.now))
 	if !w.hasClock || lease < minLease {
 		return 0, false
 	}
@@ -261,12 +261,12 @@
 	return true, ""
 }
 
-func (o *Orchestrator) pollAnswered(e LookAnswered) {
+func (o *Orchestrator) pollAnswered(e PollAnswered) {
 	w := o.workers[e.Worker]
 	if w == nil || !o.inherited || e.SentAt.Before(w.pollSentAt) {
 		return // before the jobs are inherited, ends would be acknowledged and runs stopped
 	}
-	if w.incarnation != 0 && w.incarnation != e.Born {
+	if w.incarnation != 0 && w.incarnation != e.Incarnation {
 		o.workerRestarted(w, e)
 	}
 	if w.unreachable {
@@ -276,10 +276,10 @@
 		w.resolved, w.inherited = true, false
 		o.passDue = true
 	}
-	w.incarnation, w.clock, w.clockAt, w.hasClock = e.Born, e.Clock, e.ReceivedAt, true
+	w.incarnation, w.clock, w.clockAt, w.hasClock = e.Incarnation, e.Clock, e.ReceivedAt, true
 	w.pollSentAt, w.answeredAt, w.unreachable = e.SentAt, e.ReceivedAt, false
-	if e.DrainLeft > 0 {
-		w.drainLeft, w.drainLeftAt = e.DrainLeft, o.now
+	if e.DrainRemaining > 0 {
+		w.drainLeft, w.drainLeftAt = e.DrainRemaining, o.now
 	}
 	for _, row := range e.Ended {
 		if row.Number > w.lastAppliedEnd {
@@ -293,7 +293,7 @@
 }
 
 // applyRunning reconciles the leader's runs on a worker with the runs that the worker lists.
-func (o *Orchestrator) applyRunning(w *worker, e LookAnswered) {
+func (o *Orchestrator) applyRunning(w *worker, e PollAnswered) {
 	tailRatio := 0.0
 	w.unknownRuns = 0
 	for _, row := range e.Running {
@@ -324,7 +324,7 @@
 
 // workerRestarted resets the state of a worker for its new incarnation. The poll's answer
 // decides which runs are left: a start may have reached the new incarnation already.
-func (o *Orchestrator) workerRestarted(w *worker, e LookAnswered) {
+func (o *Orchestrator) workerRestarted(w *worker, e PollAnswered) {
 	o.emit(Note{Event: EventWorkerLost, Worker: w.ID, Outcome: "restarted", Reason: "a new incarnation answers",
 		Figures: fmt.Sprintf("Runs=%d", len(w.runs))})
 	for _, r := range w.missing(e) {
@@ -338,7 +338,7 @@
 }
 
 // missing returns the runs that a poll's answer would list if they still ran, and does not.
-func (w *worker) missing(e LookAnswered) []*run {
+func (w *worker) missing(e PollAnswered) []*run {
 	listed := make(map[runKey]bool, len(e.Running))
 	for _, row := range e.Running {
 		listed[runKey{row.Task, row.Run}] = true
@@ -358,7 +358,7 @@
 	return !r.ackedAt.IsZero() && r.ackedAt.Before(t)
 }
 
-func (o *Orchestrator) pollFailed(e LookFailed) {
+func (o *Orchestrator) pollFailed(e PollFailed) {
 	w := o.workers[e.Worker]
 	if w == nil {
 		return
@@ -412,7 +412,7 @@
 		delete(o.workers, w.ID)
 		o.sortedWorkers = nil
 		o.rosterVersion++
-		o.emit(ForgetWorker{ID: w.ID})
+		o.emit(StopPolling{ID: w.ID})
 		return
 	}
 	switch {
@@ -467,7 +467,7 @@
 // holds the reason.
 func (o *Orchestrator) quarantine(w *worker, n Note) {
 	w.quarantinedUntil, w.probing, w.probe = o.now.Add(quarantineTime), true, nil
-	n.Event, n.Worker, n.Outcome = EventWorkerAvoided, w.ID, "avoided"
+	n.Event, n.Worker, n.Outcome = EventWorkerQuarantined, w.ID, "avoided"
 	o.emit(n)
 }
 
