--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -22,9 +22,9 @@
 // Sender makes one attempt at a backend server. *forwarder.Forwarder implements it.
 type Sender interface {
 	Send(ctx context.Context, q forwarder.Request) forwarder.Result
-	// Retain sets the maximum number of connections by instance and drops the state of
+	// SetInstances sets the maximum number of connections by instance and drops the state of
 	// instances that are not listed.
-	Retain(connections map[string]int)
+	SetInstances(connections map[string]int)
 }
 
 // Overflow sends requests to entry hosts of other failure domains.
@@ -67,7 +67,7 @@
 
 // admitted is the admission result of a request that holds a slot of an instance.
 type admitted struct {
-	choice router.Instance
+	choice router.ChosenInstance
 	waited time.Duration
 }
 
@@ -119,7 +119,7 @@
 		return
 	}
 	d.apply(d.settings.Limiter.Next(service, d.settings.Router.Free(service, now), now), now)
-	d.settings.Router.Want(service, d.settings.Limiter.Queued(service), now)
+	d.settings.Router.SetWaiting(service, d.settings.Limiter.Queued(service), now)
 }
 
 // apply carries out the actions of the limiter. The mutex must be held.
@@ -137,9 +137,9 @@
 				ID: a.Request.ID, Service: a.Request.Service, Deadline: a.Request.Deadline,
 			}, now)
 			switch c := c.(type) {
-			case router.Instance:
+			case router.ChosenInstance:
 				d.resolve(a.Request.ID, admitted{choice: c, waited: a.Waited})
-			case router.None:
+			case router.NoInstance:
 				d.settings.Limiter.Release(a.Request, 0, false, now)
 				d.resolve(a.Request.ID, c)
 			}
@@ -188,7 +188,7 @@
 	connections := d.settings.Router.Connections(now)
 	d.startAllServices(now)
 	d.mutex.Unlock()
-	d.settings.Sender.Retain(connections)
+	d.settings.Sender.SetInstances(connections)
 }
 
 // Demand returns the slot demand to send in the next heartbeat to the given peer.
@@ -198,24 +198,24 @@
 	return d.settings.Router.Demand(to, time.Now())
 }
 
-// Granted applies the grants that the given peer returned in the answer to a heartbeat.
+// ApplyGrants applies the grants that the given peer returned in the answer to a heartbeat.
 // SentAt is the time at which the heartbeat was sent, after its demand was computed.
-func (d *Dispatcher) Granted(from string, grants []messenger.SlotGrant, sentAt time.Time) {
+func (d *Dispatcher) ApplyGrants(from string, grants []messenger.SlotGrant, sentAt time.Time) {
 	now := time.Now()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, g := range grants {
-		d.settings.Router.Grant(from, g, sentAt, now)
+		d.settings.Router.ApplyGrant(from, g, sentAt, now)
 	}
 	d.startAllServices(now)
 }
 
-// Hold stops requests to this failure domain's instances until the given time, because
+// HoldUntil stops requests to this failure domain's instances until the given time, because
 // requests of an earlier process of this host may still use the host's slots.
-func (d *Dispatcher) Hold(until time.Time) {
+func (d *Dispatcher) HoldUntil(until time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.settings.Router.Hold(until)
+	d.settings.Router.HoldUntil(until)
 }
 
 // Free returns the number of free slots by service, which heartbeats report to other
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func (b *fakeBackends) Retain(map[string]int) {}
+func (b *fakeBackends) SetInstances(map[string]int) {}
 
 func (b *fakeBackends) Send(ctx context.Context, q forwarder.Request) forwarder.Result {
 	ctx, cancel := context.WithDeadline(ctx, q.Deadline)
@@ -356,7 +356,7 @@
 		_, notRun := handle("d").(receiver.NotRun) // not sent, and no local instance
 		is.True(notRun)
 		is.Equal(o.calls, 4)
-		a := d.Forwarded(t.Context(), messenger.ForwardRequest{Request: "e", Service: "quotes", Timeout: 50 * time.Millisecond})
+		a := d.HandleForwarded(t.Context(), messenger.ForwardRequest{Request: "e", Service: "quotes", Timeout: 50 * time.Millisecond})
 		is.Equal(a.Outcome, OutcomeNotRun)
 		is.Equal(o.calls, 4) // not forwarded again
 	})
@@ -371,8 +371,8 @@
 		})
 		d, _ := dispatcher(t, 2, b, nil)
 		m := messenger.ForwardRequest{Request: "e", Service: "quotes", Timeout: time.Second, Headers: map[string]string{"A": "b"}}
-		is.Equal(d.Forwarded(t.Context(), m).Outcome, OutcomeAnswered)
-		is.Equal(d.Forwarded(t.Context(), m).Outcome, OutcomeUnknown)
+		is.Equal(d.HandleForwarded(t.Context(), m).Outcome, OutcomeAnswered)
+		is.Equal(d.HandleForwarded(t.Context(), m).Outcome, OutcomeUnknown)
 		is.Equal(b.ran["e"], 1)
 	})
 }
--- a/internal/dispatcher/forward.go
+++ b/internal/dispatcher/forward.go
@@ -17,9 +17,9 @@
 	OutcomeUnknown  = "unknown"
 )
 
-// Forwarded serves a request that an entry host of another failure domain forwarded. It
+// HandleForwarded serves a request that an entry host of another failure domain forwarded. It
 // is not forwarded again.
-func (d *Dispatcher) Forwarded(ctx context.Context, m messenger.ForwardRequest) messenger.ForwardAnswer {
+func (d *Dispatcher) HandleForwarded(ctx context.Context, m messenger.ForwardRequest) messenger.ForwardAnswer {
 	timeout := min(m.Timeout, configurator.DefaultMaxRequestTimeout)
 	q := receiver.Request{
 		ID: m.Request, Service: m.Service, Method: m.Method, Path: m.Path, Tenant: m.Tenant,
--- a/internal/dispatcher/request.go
+++ b/internal/dispatcher/request.go
@@ -48,7 +48,7 @@
 			QuotaExceeded: v.Reason == limiter.ReasonTenantQuota,
 			RetryAfter:    v.RetryAfter,
 		}
-	case router.None:
+	case router.NoInstance:
 		d.record(r, DecisionRefuse, v.Reason, "routing", "not-run", v.Candidates)
 		return receiver.NotRun{Reason: v.Reason, RetryAfter: timeLeft(v.FreeAt)}
 	case error:
@@ -230,7 +230,7 @@
 	}
 }
 
-func newAttempt(q receiver.Request, attempt int, c router.Instance) forwarder.Request {
+func newAttempt(q receiver.Request, attempt int, c router.ChosenInstance) forwarder.Request {
 	headers := make([]forwarder.Header, len(q.Headers))
 	for i, h := range q.Headers {
 		headers[i] = forwarder.Header(h)
@@ -243,11 +243,11 @@
 
 // finishAttempt returns the slot of an attempt. It returns the instance for a retry, or
 // releases the request at the limiter and returns nil.
-func (d *Dispatcher) finishAttempt(ctx context.Context, r *requestState, c router.Instance, result forwarder.Result, attempt int, took time.Duration) *router.Instance {
+func (d *Dispatcher) finishAttempt(ctx context.Context, r *requestState, c router.ChosenInstance, result forwarder.Result, attempt int, took time.Duration) *router.ChosenInstance {
 	now := time.Now()
 	d.mutex.Lock()
 	d.settings.Router.Done(c, routerOutcome(result, took), now)
-	var next *router.Instance
+	var next *router.ChosenInstance
 	rule := checkRetry(ctx, r.request, result)
 	if rule == nil {
 		next, rule = d.pickForRetry(r, attempt, now)
@@ -299,13 +299,13 @@
 
 // pickForRetry picks an instance that was not tried yet, if the retry budget allows it.
 // The mutex must be held.
-func (d *Dispatcher) pickForRetry(r *requestState, attempt int, now time.Time) (*router.Instance, error) {
+func (d *Dispatcher) pickForRetry(r *requestState, attempt int, now time.Time) (*router.ChosenInstance, error) {
 	choice := d.settings.Router.Pick(router.Request{
 		ID: r.request.ID, Service: r.request.Service, Deadline: r.request.Deadline, Exclude: r.triedInstances,
 	}, now)
-	c, found := choice.(router.Instance)
+	c, found := choice.(router.ChosenInstance)
 	if !found {
-		return nil, errors.New("no other instance available: " + choice.(router.None).Reason)
+		return nil, errors.New("no other instance available: " + choice.(router.NoInstance).Reason)
 	}
 	if !d.settings.Limiter.RetryAllowed(r.request.Service, attempt, now) {
 		d.settings.Router.Done(c, router.Outcome{Kind: router.OutcomeUnused}, now)
--- a/internal/evaluator/entry.go
+++ b/internal/evaluator/entry.go
@@ -31,7 +31,7 @@
 type attempt struct {
 	request  *request
 	instance *instance
-	picked   router.Instance
+	picked   router.ChosenInstance
 	sentAt   time.Time
 	done     bool
 }
@@ -129,19 +129,19 @@
 	e.router.Update(endpoints, router.Membership{Hosts: hosts, Settled: true}, sent)
 	demand := e.router.Demand(owner, sent)
 	e.sequence++
-	report := router.Report{
+	report := router.DemandReport{
 		Host: e.name, Incarnation: strconv.Itoa(e.incarnation), Sequence: e.sequence,
 		RunningFor: sent.Sub(e.started), Demand: demand,
 	}
 	incarnation := e.incarnation
 	e.sim.after(networkRoundTrip/2, func() {
-		grants := a.Step(report, e.sim.now)
+		grants := a.HandleReport(report, e.sim.now)
 		e.sim.after(networkRoundTrip/2, func() {
 			if !e.alive || e.incarnation != incarnation {
 				return
 			}
 			for _, g := range grants {
-				e.router.Grant(owner, g, sent, e.sim.now)
+				e.router.ApplyGrant(owner, g, sent, e.sim.now)
 			}
 		})
 	})
@@ -186,7 +186,7 @@
 	if e.limiter.Queued(name) > 0 {
 		e.applyActions(e.limiter.Next(name, e.router.Free(name, e.sim.now), e.sim.now))
 	}
-	e.router.Want(name, e.limiter.Queued(name), e.sim.now)
+	e.router.SetWaiting(name, e.limiter.Queued(name), e.sim.now)
 }
 
 func (e *entryHost) applyActions(actions []limiter.Action) {
@@ -214,7 +214,7 @@
 
 // startAttempt sends a request to an instance and reports whether one was free.
 func (e *entryHost) startAttempt(q *request) bool {
-	c, ok := e.router.Pick(router.Request{ID: q.limiterRequest.ID, Service: q.limiterRequest.Service, Deadline: q.deadline, Exclude: q.triedInstances}, e.sim.now).(router.Instance)
+	c, ok := e.router.Pick(router.Request{ID: q.limiterRequest.ID, Service: q.limiterRequest.Service, Deadline: q.deadline, Exclude: q.triedInstances}, e.sim.now).(router.ChosenInstance)
 	if !ok {
 		return false
 	}
@@ -222,7 +222,7 @@
 	return true
 }
 
-func (e *entryHost) sendAttempt(q *request, c router.Instance) {
+func (e *entryHost) sendAttempt(q *request, c router.ChosenInstance) {
 	a := &attempt{request: q, instance: e.sim.instancesByName[c.Name], picked: c, sentAt: e.sim.now}
 	q.attempt = a
 	e.sim.after(networkRoundTrip/2, func() { e.sim.runRequest(a, e) })
@@ -275,7 +275,7 @@
 	}
 	if !q.mayHaveRun || q.repeatable {
 		q.triedInstances = append(q.triedInstances, a.picked.Name)
-		c, ok := e.router.Pick(router.Request{ID: q.limiterRequest.ID, Service: q.limiterRequest.Service, Deadline: q.deadline, Exclude: q.triedInstances}, e.sim.now).(router.Instance)
+		c, ok := e.router.Pick(router.Request{ID: q.limiterRequest.ID, Service: q.limiterRequest.Service, Deadline: q.deadline, Exclude: q.triedInstances}, e.sim.now).(router.ChosenInstance)
 		if ok && e.limiter.RetryAllowed(q.limiterRequest.Service, len(q.triedInstances), e.sim.now) {
 			e.sim.countMeasured(&e.sim.result.Retries)
 			e.sendAttempt(q, c)
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -110,10 +110,10 @@
 	}
 }
 
-// Retain sets the maximum number of connections to each listed instance and removes all
+// SetInstances sets the maximum number of connections to each listed instance and removes all
 // other instances. Idle connections to removed instances, and to instances whose maximum
 // became smaller, are closed.
-func (f *Forwarder) Retain(connections map[string]int) {
+func (f *Forwarder) SetInstances(connections map[string]int) {
 	var retired, reduced []*instanceClient
 	f.mutex.Lock()
 	for name, c := range f.instances {
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -319,14 +319,14 @@
 	q.Connections = 2
 	_, notRun := f.Send(t.Context(), q).(NotRun)
 	is.True(notRun)
-	f.Retain(map[string]int{"quotes-1": 1})
+	f.SetInstances(map[string]int{"quotes-1": 1})
 	close(answer)
 	for range 2 {
 		_, answered := (<-results).(Answered)
 		is.True(answered)
 	}
 	is.True(f.instances["quotes-1"].hostClient.ConnsCount() <= 1) // 0 if both requests saw too many connections and closed theirs
-	f.Retain(nil)
+	f.SetInstances(nil)
 	is.Equal(len(f.instances), 0)
 }
 
--- a/internal/router/allocator.go
+++ b/internal/router/allocator.go
@@ -6,8 +6,8 @@
 	"peridotpitch/internal/messenger"
 )
 
-// Report is the slot demand in one heartbeat of an entry host.
-type Report struct {
+// DemandReport is the slot demand in one heartbeat of an entry host.
+type DemandReport struct {
 	Host        string
 	Incarnation string
 	// Sequence increases with each heartbeat of an incarnation. If it is 0, the order of
@@ -111,9 +111,9 @@
 	}
 }
 
-// Step takes a host's report and returns its grants, one for each instance of the shard.
+// HandleReport takes a host's report and returns its grants, one for each instance of the shard.
 // A grant of zero slots informs the host of this allocator's epoch.
-func (a *Allocator) Step(p Report, now time.Time) []messenger.SlotGrant {
+func (a *Allocator) HandleReport(p DemandReport, now time.Time) []messenger.SlotGrant {
 	hp := hostProcess{p.Host, p.Incarnation}
 	ordered := p.Sequence > 0
 	if ordered && p.Sequence <= a.lastSequences[hp] {
--- a/internal/router/example_test.go
+++ b/internal/router/example_test.go
@@ -19,9 +19,9 @@
 	}, router.Membership{Hosts: 2, Settled: true}, now)
 	for range 4 {
 		switch c := r.Pick(router.Request{Service: "quotes", Deadline: now.Add(time.Second)}, now).(type) {
-		case router.Instance:
+		case router.ChosenInstance:
 			fmt.Println(c.Name, "with", c.Connections, "connections")
-		case router.None:
+		case router.NoInstance:
 			fmt.Println(c.Reason)
 		}
 	}
--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -51,7 +51,7 @@
 // modelRequest is a request that runs at a backend server.
 type modelRequest struct {
 	host     *modelHost
-	choice   Instance
+	choice   ChosenInstance
 	endsAt   time.Time // at the latest
 	orphaned bool      // its connection is closed
 }
@@ -187,9 +187,9 @@
 		if rapid.IntRange(0, 3).Draw(m.t, "short") == 0 {
 			deadline = m.now.Add(modelTimeout / 8)
 		}
-		c, found := h.router.Pick(Request{ID: fmt.Sprint(m.requests), Service: "quotes", Deadline: deadline}, m.now).(Instance)
+		c, found := h.router.Pick(Request{ID: fmt.Sprint(m.requests), Service: "quotes", Deadline: deadline}, m.now).(ChosenInstance)
 		if !found {
-			h.router.Want("quotes", 6, m.now)
+			h.router.SetWaiting("quotes", 6, m.now)
 			return
 		}
 		m.running = append(m.running, &modelRequest{host: h, choice: c, endsAt: deadline.Add(AbandonMargin)})
@@ -220,14 +220,14 @@
 	}
 	m.advance(time.Microsecond) // answers to two demands of the same time are ignored
 	h.reportCount++
-	p := Report{
+	p := DemandReport{
 		Host: h.name, Incarnation: fmt.Sprint(h.process), Sequence: h.reportCount,
 		RunningFor: m.now.Sub(h.started), Demand: h.router.Demand(m.owner, m.now),
 	}
 	if rapid.IntRange(0, 5).Draw(m.t, "lost") == 0 {
 		return
 	}
-	grants := m.allocator.Step(p, m.now)
+	grants := m.allocator.HandleReport(p, m.now)
 	for _, g := range grants {
 		m.grantedSlots += g.Slots
 	}
@@ -246,7 +246,7 @@
 		return
 	}
 	for _, g := range a.grants {
-		a.to.router.Grant(a.from, g, a.sentAt, m.now)
+		a.to.router.ApplyGrant(a.from, g, a.sentAt, m.now)
 	}
 }
 
--- a/internal/router/policy_test.go
+++ b/internal/router/policy_test.go
@@ -32,7 +32,7 @@
 type requestEnd struct {
 	endsAt    time.Time
 	host      int
-	choice    Instance
+	choice    ChosenInstance
 	arrivedAt time.Time
 	pickedAt  time.Time
 }
@@ -89,7 +89,7 @@
 // start sends a request that arrived at the given time and reports whether an instance was
 // free.
 func (s *routingSimulation) start(host int, arrived, now time.Time) bool {
-	c, found := s.routers[host].Pick(Request{Service: "quotes", Deadline: now.Add(requestTimeout)}, now).(Instance)
+	c, found := s.routers[host].Pick(Request{Service: "quotes", Deadline: now.Add(requestTimeout)}, now).(ChosenInstance)
 	if !found {
 		return false
 	}
@@ -183,7 +183,7 @@
 	sent := make(map[string]int)
 	for range 40 {
 		for _, r := range s.routers {
-			c := r.Pick(Request{Service: "quotes", Deadline: epoch.Add(time.Second)}, epoch).(Instance)
+			c := r.Pick(Request{Service: "quotes", Deadline: epoch.Add(time.Second)}, epoch).(ChosenInstance)
 			sent[c.Name]++
 			r.Done(c, Outcome{Kind: OutcomeUnused}, epoch)
 		}
@@ -223,7 +223,7 @@
 	r, now, failed := s.routers[0], epoch, 0
 	for range 12000 {
 		now = now.Add(5 * time.Millisecond)
-		c := r.Pick(Request{Service: "quotes", Deadline: now.Add(time.Second)}, now).(Instance)
+		c := r.Pick(Request{Service: "quotes", Deadline: now.Add(time.Second)}, now).(ChosenInstance)
 		if c.Name == "quotes-003" {
 			failed++
 			r.Done(c, Outcome{Kind: OutcomeNotRun, SlotsUsed: -1}, now)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -56,9 +56,9 @@
 // SetPolicy changes the routing policy from the next Pick on.
 func (r *Router) SetPolicy(p configurator.RoutingPolicy) { r.settings.Policy = p }
 
-// Hold keeps this host's share of all instances at zero until the given time, unless it is
+// HoldUntil keeps this host's share of all instances at zero until the given time, unless it is
 // already kept at zero for longer.
-func (r *Router) Hold(until time.Time) {
+func (r *Router) HoldUntil(until time.Time) {
 	if until.After(r.holdUntil) {
 		r.holdUntil = until
 		r.settings.HoldUntil = until
@@ -137,10 +137,10 @@
 	return ss
 }
 
-// Grant applies a grant that the given peer sent in answer to the demand of time sentAt. It
+// ApplyGrant applies a grant that the given peer sent in answer to the demand of time sentAt. It
 // ignores grants in answer to earlier demands and grants of earlier epochs, because their
 // granter no longer counts the granted slots as used.
-func (r *Router) Grant(from string, g messenger.SlotGrant, sentAt, now time.Time) {
+func (r *Router) ApplyGrant(from string, g messenger.SlotGrant, sentAt, now time.Time) {
 	in := r.instances[g.Instance]
 	if in == nil || g.Epoch < in.granterEpoch || sentAt.Before(in.lastDemandAt[from]) {
 		return
@@ -175,7 +175,7 @@
 func (r *Router) Pick(q Request, now time.Time) Choice {
 	ss := r.services[q.Service]
 	if ss == nil || len(ss.instances) == 0 {
-		return None{Reason: "the failure domain has no instance of the service"}
+		return NoInstance{Reason: "the failure domain has no instance of the service"}
 	}
 	r.assess(ss, now)
 	free := make([]*instance, 0, len(ss.instances))
@@ -193,7 +193,7 @@
 	in, reason, candidates := r.choose(ss, free, now)
 	r.lastTicket++
 	in.inFlight[r.lastTicket] = inFlightRequest{pickedAt: now, deadline: q.Deadline}
-	return Instance{
+	return ChosenInstance{
 		Name:        in.endpoint.Instance,
 		Address:     in.endpoint.Address,
 		Connections: r.hostCounts.minConnections(in.endpoint.Connections, now),
@@ -207,10 +207,10 @@
 const maxCandidates = 8
 
 // noInstance returns the reason why no instance can take the request.
-func (r *Router) noInstance(ss *serviceState, q Request, now time.Time) None {
-	n := None{Reason: "no instance has a free slot in this host's share"}
+func (r *Router) noInstance(ss *serviceState, q Request, now time.Time) NoInstance {
+	n := NoInstance{Reason: "no instance has a free slot in this host's share"}
 	if now.Before(r.holdUntil) {
-		return None{Reason: "this host's share is not in effect yet", FreeAt: r.holdUntil}
+		return NoInstance{Reason: "this host's share is not in effect yet", FreeAt: r.holdUntil}
 	}
 	for _, in := range ss.instances {
 		c := Candidate{Instance: in.endpoint.Instance, Note: "no free slot"}
@@ -233,7 +233,7 @@
 
 // Done ends a request at a chosen instance and returns its slot. A second call for the same
 // choice has no effect.
-func (r *Router) Done(c Instance, o Outcome, now time.Time) {
+func (r *Router) Done(c ChosenInstance, o Outcome, now time.Time) {
 	in := r.instances[c.Name]
 	if in == nil {
 		return
@@ -262,8 +262,8 @@
 	}
 }
 
-// Want sets the number of requests that wait for an instance of the service.
-func (r *Router) Want(service string, waiting int, _ time.Time) {
+// SetWaiting sets the number of requests that wait for an instance of the service.
+func (r *Router) SetWaiting(service string, waiting int, _ time.Time) {
 	if ss := r.services[service]; ss != nil {
 		ss.waitingRequests = waiting
 	}
--- a/internal/router/share_test.go
+++ b/internal/router/share_test.go
@@ -46,8 +46,8 @@
 
 // report returns a report of slot demand by a process that has run for longer than the
 // reclaim delay.
-func report(host string, sequence uint64, inUse, wanted int) Report {
-	return Report{Host: host, Incarnation: "1", Sequence: sequence, RunningFor: longRunning, Demand: []messenger.SlotDemand{
+func report(host string, sequence uint64, inUse, wanted int) DemandReport {
+	return DemandReport{Host: host, Incarnation: "1", Sequence: sequence, RunningFor: longRunning, Demand: []messenger.SlotDemand{
 		{Instance: "quotes-0", InUse: inUse, Wanted: wanted},
 	}}
 }
@@ -64,7 +64,7 @@
 func pickAll(r *Router, now time.Time) int {
 	n := 0
 	for {
-		if _, found := r.Pick(Request{Service: "quotes", Deadline: now.Add(maxTimeout)}, now).(Instance); !found {
+		if _, found := r.Pick(Request{Service: "quotes", Deadline: now.Add(maxTimeout)}, now).(ChosenInstance); !found {
 			return n
 		}
 		n++
@@ -82,15 +82,15 @@
 	second := epoch.Add(time.Second)
 	r := newRouter(2, true, epoch)
 	is.Equal(r.Demand("a", epoch), nil) // no grant from a yet
-	r.Grant("a", grant(2, 2), epoch, epoch)
+	r.ApplyGrant("a", grant(2, 2), epoch, epoch)
 	is.Equal(r.Free("quotes", epoch), 5)
 	is.Equal(r.Free("quotes", epoch.Add(GrantDuration)), 3)
-	is.Equal(r.Demand("a", second)[0].InUse, 5) // the grant is still usable
-	r.Grant("a", grant(1, 2), epoch, second)    // answers the first demand
+	is.Equal(r.Demand("a", second)[0].InUse, 5)   // the grant is still usable
+	r.ApplyGrant("a", grant(1, 2), epoch, second) // answers the first demand
 	is.Equal(r.Free("quotes", second), 5)
-	r.Grant("b", grant(0, 3), second, second) // another owner
+	r.ApplyGrant("b", grant(0, 3), second, second) // another owner
 	is.Equal(r.Free("quotes", second), 3)
-	r.Grant("a", grant(2, 2), second, second)
+	r.ApplyGrant("a", grant(2, 2), second, second)
 	is.Equal(r.Free("quotes", second), 3)
 	is.Equal(len(r.Demand("a", second)), 0) // nothing is reported to an earlier owner
 	is.Equal(len(r.Demand("b", second)), 1)
@@ -101,14 +101,14 @@
 func TestUnresponsiveHostKeepsSlots(t *testing.T) {
 	is := is.New(t)
 	a := newGrantingAllocator()
-	is.Equal(grantedSlots(a.Step(report("host-0", 1, 3, 8), epoch)), 2)
+	is.Equal(grantedSlots(a.HandleReport(report("host-0", 1, 3, 8), epoch)), 2)
 	end := epoch.Add(GrantDuration + maxTimeout)
-	is.Equal(grantedSlots(a.Step(report("host-1", 1, 3, 8), end)), 0)
+	is.Equal(grantedSlots(a.HandleReport(report("host-1", 1, 3, 8), end)), 0)
 	restarted := report("host-0", 2, 0, 3)
 	restarted.Incarnation = "2"
-	is.Equal(grantedSlots(a.Step(restarted, end)), 0)
-	is.Equal(grantedSlots(a.Step(report("host-1", 2, 3, 8), end)), 0)
-	is.Equal(grantedSlots(a.Step(report("host-1", 3, 3, 8), end.Add(time.Second))), 2)
+	is.Equal(grantedSlots(a.HandleReport(restarted, end)), 0)
+	is.Equal(grantedSlots(a.HandleReport(report("host-1", 2, 3, 8), end)), 0)
+	is.Equal(grantedSlots(a.HandleReport(report("host-1", 3, 3, 8), end.Add(time.Second))), 2)
 }
 
 // Guards against slots being freed by a report that was overtaken or whose order is
@@ -116,24 +116,24 @@
 func TestOnlyLatestReportFreesSlots(t *testing.T) {
 	is := is.New(t)
 	a := newGrantingAllocator()
-	is.Equal(grantedSlots(a.Step(report("host-0", 5, 3, 8), epoch)), 2)
-	is.Equal(len(a.Step(report("host-0", 4, 3, 3), epoch)), 0)
-	is.Equal(grantedSlots(a.Step(report("host-0", 0, 3, 3), epoch)), 0)
-	is.Equal(grantedSlots(a.Step(report("host-1", 1, 3, 8), epoch)), 0)
-	is.Equal(grantedSlots(a.Step(report("host-0", 6, 3, 3), epoch)), 0)
-	is.Equal(grantedSlots(a.Step(report("host-1", 2, 3, 8), epoch)), 2)
+	is.Equal(grantedSlots(a.HandleReport(report("host-0", 5, 3, 8), epoch)), 2)
+	is.Equal(len(a.HandleReport(report("host-0", 4, 3, 3), epoch)), 0)
+	is.Equal(grantedSlots(a.HandleReport(report("host-0", 0, 3, 3), epoch)), 0)
+	is.Equal(grantedSlots(a.HandleReport(report("host-1", 1, 3, 8), epoch)), 0)
+	is.Equal(grantedSlots(a.HandleReport(report("host-0", 6, 3, 3), epoch)), 0)
+	is.Equal(grantedSlots(a.HandleReport(report("host-1", 2, 3, 8), epoch)), 2)
 }
 
 // Guards against one host keeping the whole pool while another host wants slots.
 func TestPoolIsShared(t *testing.T) {
 	is := is.New(t)
 	a := newGrantingAllocator()
-	is.Equal(grantedSlots(a.Step(report("host-0", 1, 3, 8), epoch)), 2)
-	is.Equal(grantedSlots(a.Step(report("host-1", 1, 3, 8), epoch)), 0)
+	is.Equal(grantedSlots(a.HandleReport(report("host-0", 1, 3, 8), epoch)), 2)
+	is.Equal(grantedSlots(a.HandleReport(report("host-1", 1, 3, 8), epoch)), 0)
 	later := epoch.Add(GrantDuration)
-	is.Equal(grantedSlots(a.Step(report("host-1", 2, 3, 8), later)), 0)
-	is.Equal(grantedSlots(a.Step(report("host-0", 2, 3, 8), later)), 1) // the grant expired; a slot is reserved for host-1
-	is.Equal(grantedSlots(a.Step(report("host-1", 3, 3, 8), later)), 1)
+	is.Equal(grantedSlots(a.HandleReport(report("host-1", 2, 3, 8), later)), 0)
+	is.Equal(grantedSlots(a.HandleReport(report("host-0", 2, 3, 8), later)), 1) // the grant expired; a slot is reserved for host-1
+	is.Equal(grantedSlots(a.HandleReport(report("host-1", 3, 3, 8), later)), 1)
 }
 
 // Guards against a new owner granting slots that are still in use under grants of an
@@ -146,27 +146,27 @@
 		return a
 	}
 	a := start(true)
-	is.Equal(grantedSlots(a.Step(report("host-0", 1, 3, 8), epoch)), 0)
+	is.Equal(grantedSlots(a.HandleReport(report("host-0", 1, 3, 8), epoch)), 0)
 	young := report("host-1", 1, 3, 3)
 	young.RunningFor = maxTimeout
-	a.Step(young, epoch)
-	is.Equal(grantedSlots(a.Step(report("host-0", 2, 3, 8), epoch)), 0)
-	a.Step(report("host-1", 2, 3, 3), epoch)
-	is.Equal(grantedSlots(a.Step(report("host-0", 3, 3, 8), epoch)), 2) // all hosts have reported
+	a.HandleReport(young, epoch)
+	is.Equal(grantedSlots(a.HandleReport(report("host-0", 2, 3, 8), epoch)), 0)
+	a.HandleReport(report("host-1", 2, 3, 3), epoch)
+	is.Equal(grantedSlots(a.HandleReport(report("host-0", 3, 3, 8), epoch)), 2) // all hosts have reported
 
 	a = start(true)
 	a.Update(oneInstance, hostNames(1), false, epoch) // host-1 is removed, but may still use slots
-	a.Step(report("host-0", 1, 3, 8), epoch)
-	is.Equal(grantedSlots(a.Step(report("host-0", 2, 3, 8), epoch)), 0)
+	a.HandleReport(report("host-0", 1, 3, 8), epoch)
+	is.Equal(grantedSlots(a.HandleReport(report("host-0", 2, 3, 8), epoch)), 0)
 
 	a = start(true)
-	is.Equal(grantedSlots(a.Step(report("host-0", 1, 3, 8), epoch.Add(GrantDuration+maxTimeout))), 0)
-	is.Equal(grantedSlots(a.Step(report("host-0", 2, 3, 8), epoch.Add(GrantDuration+maxTimeout+time.Second))), 2)
+	is.Equal(grantedSlots(a.HandleReport(report("host-0", 1, 3, 8), epoch.Add(GrantDuration+maxTimeout))), 0)
+	is.Equal(grantedSlots(a.HandleReport(report("host-0", 2, 3, 8), epoch.Add(GrantDuration+maxTimeout+time.Second))), 2)
 
 	a = start(false) // hosts may still use the base shares of another number of hosts
-	a.Step(report("host-1", 1, 3, 3), epoch)
-	is.Equal(grantedSlots(a.Step(report("host-0", 1, 3, 8), epoch.Add(GrantDuration+maxTimeout+time.Second))), 0)
-	is.Equal(grantedSlots(a.Step(report("host-0", 2, 3, 8), epoch.Add(ShareDelay(maxTimeout)))), 2)
+	a.HandleReport(report("host-1", 1, 3, 3), epoch)
+	is.Equal(grantedSlots(a.HandleReport(report("host-0", 1, 3, 8), epoch.Add(GrantDuration+maxTimeout+time.Second))), 0)
+	is.Equal(grantedSlots(a.HandleReport(report("host-0", 2, 3, 8), epoch.Add(ShareDelay(maxTimeout)))), 2)
 }
 
 // Guards against an increase of the base share while slots are in use under the last grant
@@ -183,17 +183,17 @@
 		rs = append(rs, r)
 	}
 	adopted := epoch.Add(ConfigurationDelay)
-	is.Equal(grantedSlots(a.Step(report("host-0", 1, 1, 8), adopted)), 4)
+	is.Equal(grantedSlots(a.HandleReport(report("host-0", 1, 1, 8), adopted)), 4)
 	a.Update(oneInstance, hostNames(3), false, adopted)
 	rs[0].Demand("host-2", adopted)
-	rs[0].Grant("host-2", grant(4, 2), adopted, adopted)
+	rs[0].ApplyGrant("host-2", grant(4, 2), adopted, adopted)
 	last := adopted.Add(GrantDuration - time.Nanosecond)
 	is.Equal(pickAll(rs[0], last), 5)
 	before := last.Add(maxTimeout) // the last of these requests may end now
 	is.Equal(pickAll(rs[1], before)+pickAll(rs[2], before), 2)
 	after := epoch.Add(ShareDelay(maxTimeout))
 	is.Equal(pickAll(rs[1], after)+pickAll(rs[2], after), 2)
-	is.Equal(grantedSlots(a.Step(report("host-1", 1, 2, 8), before)), 0)
+	is.Equal(grantedSlots(a.HandleReport(report("host-1", 1, 2, 8), before)), 0)
 }
 
 // Guards against a new host using its base share before the other hosts have reduced
@@ -202,7 +202,7 @@
 	is := is.New(t)
 	added := newRouter(3, false, epoch)
 	is.Equal(pickAll(added, epoch), 0)
-	none, _ := added.Pick(Request{Service: "quotes"}, epoch).(None)
+	none, _ := added.Pick(Request{Service: "quotes"}, epoch).(NoInstance)
 	is.Equal(none.FreeAt, epoch.Add(ShareDelay(maxTimeout)))
 	is.Equal(pickAll(added, none.FreeAt), 2)
 
@@ -220,9 +220,9 @@
 func TestSlotsSurviveUnlisting(t *testing.T) {
 	is := is.New(t)
 	r := newRouter(2, true, epoch)
-	c := r.Pick(Request{Service: "quotes", Deadline: epoch.Add(time.Second)}, epoch).(Instance)
+	c := r.Pick(Request{Service: "quotes", Deadline: epoch.Add(time.Second)}, epoch).(ChosenInstance)
 	r.Update(nil, Membership{Hosts: 2}, epoch)
-	_, none := r.Pick(Request{Service: "quotes"}, epoch).(None)
+	_, none := r.Pick(Request{Service: "quotes"}, epoch).(NoInstance)
 	is.True(none)
 	r.Update(oneInstance, Membership{Hosts: 2}, epoch)
 	is.Equal(r.Free("quotes", epoch), 2)
--- a/internal/router/types.go
+++ b/internal/router/types.go
@@ -58,8 +58,8 @@
 // Choice is the result of Pick: Instance or None.
 type Choice interface{ choice() }
 
-// Instance is a chosen instance. The slot is held until Done.
-type Instance struct {
+// ChosenInstance is a chosen instance. The slot is held until Done.
+type ChosenInstance struct {
 	Name        string
 	Address     string // ip:port
 	Connections int    // this host's share of the instance's connections
@@ -68,15 +68,15 @@
 	Ticket      uint64 // identifies the held slot
 }
 
-// None says that no instance can take the request now.
-type None struct {
+// NoInstance says that no instance can take the request now.
+type NoInstance struct {
 	Reason     string
 	FreeAt     time.Time // earliest expected time of a free slot; zero if unknown
 	Candidates []Candidate
 }
 
-func (Instance) choice() {}
-func (None) choice()     {}
+func (ChosenInstance) choice() {}
+func (NoInstance) choice()     {}
 
 // OutcomeKind is the way in which a request at an instance ended.
 type OutcomeKind string
--- a/internal/server/endpoints_test.go
+++ b/internal/server/endpoints_test.go
@@ -44,7 +44,7 @@
 	remaining := time.Second
 	shards := []proprietor.ShardStatus{{Shard: "A/1", Owner: "e1", Epoch: 1, PlacingUntil: now.Add(remaining)}}
 	g.update(shards, es, []string{"e1"}, true, 0, now)
-	report := router.Report{Host: "e1", Incarnation: "a", Sequence: 1, RunningFor: time.Hour, Demand: []messenger.SlotDemand{{Instance: "q1", Wanted: 8}}}
+	report := router.DemandReport{Host: "e1", Incarnation: "a", Sequence: 1, RunningFor: time.Hour, Demand: []messenger.SlotDemand{{Instance: "q1", Wanted: 8}}}
 	grants := g.handleReport(report, now)
 	is.Equal(len(grants), 1)
 	is.True(grants[0].Slots > 0)
--- a/internal/server/granter.go
+++ b/internal/server/granter.go
@@ -59,7 +59,7 @@
 
 // handleReport processes the slot demand of an entry host and returns its grants from
 // all owned shards. A grant ends no later than the shard's lease for placing tasks.
-func (g *granter) handleReport(r router.Report, now time.Time) []messenger.SlotGrant {
+func (g *granter) handleReport(r router.DemandReport, now time.Time) []messenger.SlotGrant {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var grants []messenger.SlotGrant
@@ -68,7 +68,7 @@
 		if remaining <= 0 {
 			continue
 		}
-		for _, s := range a.allocator.Step(r, now) {
+		for _, s := range a.allocator.HandleReport(r, now) {
 			s.For = min(s.For, remaining)
 			grants = append(grants, s)
 		}
--- a/internal/server/heartbeat.go
+++ b/internal/server/heartbeat.go
@@ -48,7 +48,7 @@
 			h.suspendSlots(now.Add(a.HoldFor))
 		}
 		h.endpoints.setEndpoints(a.Endpoints, now)
-		h.dispatcher.Granted(l.name, a.Grants, sentAt)
+		h.dispatcher.ApplyGrants(l.name, a.Grants, sentAt)
 	}
 }
 
@@ -63,7 +63,7 @@
 func (h *host) suspendSlots(until time.Time) {
 	if until.UnixNano() > h.slotsSuspendedUntil.Load() {
 		h.slotsSuspendedUntil.Store(until.UnixNano())
-		h.dispatcher.Hold(until)
+		h.dispatcher.HoldUntil(until)
 	}
 }
 
@@ -93,7 +93,7 @@
 	if m.FailureDomain == h.settings.FailureDomain {
 		a.HoldFor = h.members.RemainingRequestTime(m.Host, h.maxRequestTimeout()+crashedProcessMargin, now)
 		a.Endpoints = h.owner.Endpoints()
-		a.Grants = h.grants.handleReport(router.Report{Host: m.Host, Incarnation: m.Incarnation, Sequence: m.Sequence, RunningFor: m.RunningFor, Demand: m.Demand}, now)
+		a.Grants = h.grants.handleReport(router.DemandReport{Host: m.Host, Incarnation: m.Incarnation, Sequence: m.Sequence, RunningFor: m.RunningFor, Demand: m.Demand}, now)
 	} else if len(h.notReady()) == 0 {
 		a.Free = h.dispatcher.Free()
 	}
--- a/internal/server/jobs.go
+++ b/internal/server/jobs.go
@@ -92,7 +92,7 @@
 }
 
 func (p peerHandler) Forward(ctx context.Context, m messenger.ForwardRequest) (messenger.ForwardAnswer, error) {
-	return p.h.dispatcher.Forwarded(ctx, m), nil
+	return p.h.dispatcher.HandleForwarded(ctx, m), nil
 }
 
 // refuseNotOwner converts a NotOwnerError to a refusal. The calling host determines the
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -377,8 +377,8 @@
 	h.dispatcher.Update(all, router.Membership{Hosts: len(hosts), Settled: settled})
 	ownDemand := h.dispatcher.Demand(h.settings.Name)
 	now = time.Now() // the router ignores grants from before the demand: they answer an earlier report
-	g := h.grants.handleReport(router.Report{Host: h.settings.Name, Incarnation: h.incarnation, Sequence: h.heartbeatSequence.Add(1), RunningFor: now.Sub(h.started), Demand: ownDemand}, now)
-	h.dispatcher.Granted(h.settings.Name, g, now)
+	g := h.grants.handleReport(router.DemandReport{Host: h.settings.Name, Incarnation: h.incarnation, Sequence: h.heartbeatSequence.Add(1), RunningFor: now.Sub(h.started), Demand: ownDemand}, now)
+	h.dispatcher.ApplyGrants(h.settings.Name, g, now)
 }
 
 // entryHosts returns the names of the failure domain's entry hosts.
--- a/internal/surveyor/measure.go
+++ b/internal/surveyor/measure.go
@@ -366,13 +366,13 @@
 		demand := r.Demand(hostName(0), now)
 		answer := messenger.HeartbeatAnswer{
 			Identity: identity(0), Endpoints: sent,
-			Grants: a.Step(router.Report{Host: hostName(1), Incarnation: "1", Sequence: sequence, RunningFor: time.Hour, Demand: demand}, now),
+			Grants: a.HandleReport(router.DemandReport{Host: hostName(1), Incarnation: "1", Sequence: sequence, RunningFor: time.Hour, Demand: demand}, now),
 		}
 		text, _ = msgpack.Marshal(answer)
 		var in messenger.HeartbeatAnswer
 		_ = msgpack.Unmarshal(text, &in)
 		for _, g := range in.Grants {
-			r.Grant(hostName(0), g, now, now)
+			r.ApplyGrant(hostName(0), g, now, now)
 		}
 		if withEndpoints {
 			r.Update(in.Endpoints, router.Membership{Hosts: 2, Settled: true}, now)
@@ -445,7 +445,7 @@
 		now := startTime
 		return s.cost(func() {
 			now = now.Add(time.Millisecond)
-			c, ok := r.Pick(router.Request{ID: "1", Service: serviceName(0), Deadline: now.Add(time.Second)}, now).(router.Instance)
+			c, ok := r.Pick(router.Request{ID: "1", Service: serviceName(0), Deadline: now.Add(time.Second)}, now).(router.ChosenInstance)
 			if ok {
 				r.Done(c, router.Outcome{Kind: router.OutcomeAnswered, Latency: 5 * time.Millisecond, SlotsUsed: -1}, now)
 			}
@@ -554,7 +554,7 @@
 	for sequence := range uint64(200) { // for longer than grants of an earlier owner can last
 		now = now.Add(500 * time.Millisecond)
 		for _, h := range names {
-			a.Step(router.Report{Host: h, Incarnation: "1", Sequence: sequence + 1, RunningFor: time.Hour, Demand: heartbeat(0, instances, 0).Demand}, now)
+			a.HandleReport(router.DemandReport{Host: h, Incarnation: "1", Sequence: sequence + 1, RunningFor: time.Hour, Demand: heartbeat(0, instances, 0).Demand}, now)
 		}
 	}
 	return a
