--- a/cmd/evaluate/main.go
+++ b/cmd/evaluate/main.go
@@ -51,15 +51,15 @@
 	if len(firms) == 0 || len(scenarios) == 0 || !(minutes > 0) {
 		return fmt.Errorf("nothing to run: firm %q or scenario %q does not exist, or minutes %g are not above 0", firm, scenario, minutes)
 	}
-	policies := append([]evaluator.Policies{evaluator.Product}, evaluator.Baselines()...)
+	policies := append([]evaluator.Policies{evaluator.ProductPolicies}, evaluator.BaselinePolicies()...)
 	rows := evaluator.Evaluate(firms, scenarios, policies, seeds, time.Duration(minutes*float64(time.Minute)), 0)
 	if err := evaluator.Print(os.Stdout, rows); err != nil {
 		return err
 	}
 	for _, r := range rows {
 		for g := 1; broken && g <= 9; g++ {
-			if e := r.Example[g]; e != "" {
-				fmt.Printf("%s %s %s seed %d: guarantee %d, %d violations, first %s\n", r.Firm, r.Scenario, r.Policies, r.Seed, g, r.Broken[g], e)
+			if e := r.FirstViolation[g]; e != "" {
+				fmt.Printf("%s %s %s seed %d: guarantee %d, %d violations, first %s\n", r.Firm, r.Scenario, r.Policies, r.Seed, g, r.Violations[g], e)
 			}
 		}
 	}
--- a/cmd/standin/roles.go
+++ b/cmd/standin/roles.go
@@ -67,9 +67,9 @@
 func runPlatform(ctx context.Context, fs *flag.FlagSet, arguments []string, out io.Writer) error {
 	var o emulator.PlatformOptions
 	addressVar(fs, &o.Address, "listen", "`ip:port` to listen on (default any loopback port)")
-	fs.Float64Var(&o.WriteRate, "writes", emulator.DefaultWriteRate, "writes per second; more are answered with status 429")
-	fs.Float64Var(&o.ReadRate, "reads", emulator.DefaultReadRate, "reads per second; more are answered with status 429")
-	fs.DurationVar(&o.HostLag, "host-lag", time.Second, "age of the host list")
+	fs.Float64Var(&o.WritesPerSecond, "writes", emulator.DefaultWritesPerSecond, "writes per second; more are answered with status 429")
+	fs.Float64Var(&o.ReadsPerSecond, "reads", emulator.DefaultReadsPerSecond, "reads per second; more are answered with status 429")
+	fs.DurationVar(&o.HostListAge, "host-lag", time.Second, "age of the host list")
 	fs.Uint64Var(&o.Seed, "seed", 1, "seed of the random faults")
 	o.Faults.RegisterFlags(fs)
 	if err := fs.Parse(arguments); err != nil {
@@ -96,7 +96,7 @@
 	fs.DurationVar(&o.StartTime, "start-time", emulator.DefaultStartTime, "time from the start command until the task runs")
 	fs.DurationVar(&o.CheckpointTime, "checkpoint-time", emulator.DefaultCheckpointTime, "time to take a checkpoint")
 	fs.DurationVar(&o.Backend.ServiceTime, "service-time", emulator.DefaultServiceTime, "mean service time of instances without slowdown")
-	maxCoefficient := fs.Float64("interference", emulator.DefaultStrength, "upper bound of the emulated interference coefficients")
+	maxCoefficient := fs.Float64("interference", emulator.DefaultMaxCoefficient, "upper bound of the emulated interference coefficients")
 	fs.Uint64Var(&o.Seed, "seed", 1, "seed of the interference coefficients, usage and random faults")
 	o.Faults.RegisterFlags(fs)
 	if err := fs.Parse(arguments); err != nil {
@@ -132,7 +132,7 @@
 	fs.IntVar(&o.Connections, "connections", emulator.DefaultConnections, "maximum number of open connections")
 	fs.DurationVar(&o.ServiceTime, "service-time", emulator.DefaultServiceTime, "mean service time")
 	fs.StringVar((*string)(&o.Shape), "shape", string(emulator.ShapeLogNormal), "distribution of service times: fixed, exponential or lognormal")
-	fs.IntVar(&o.AnswerSize, "answer-size", emulator.DefaultAnswerSize, "bytes of padding in answers")
+	fs.IntVar(&o.AnswerPaddingBytes, "answer-size", emulator.DefaultAnswerPaddingBytes, "bytes of padding in answers")
 	fs.Uint64Var(&o.Seed, "seed", 1, "seed of the service times and random faults")
 	o.Faults.RegisterFlags(fs)
 	if err := fs.Parse(arguments); err != nil {
@@ -247,8 +247,8 @@
 	fs.Var(&c.Classes, "classes", "`mix` of classes urgent and normal")
 	fs.Float64Var(&c.Repeatable, "repeatable", 0.5, "share of requests that may be repeated")
 	fs.DurationVar(&c.Timeout, "timeout", time.Second, "timeout of requests")
-	fs.IntVar(&c.BodySize, "body", 128, "bytes of request bodies")
-	fs.DurationVar(&c.HealthEvery, "health-every", 0, "interval of readiness checks; hosts that are not ready get no requests (0: no checks)")
+	fs.IntVar(&c.BodyBytes, "body", 128, "bytes of request bodies")
+	fs.DurationVar(&c.ReadinessInterval, "health-every", 0, "interval of readiness checks; hosts that are not ready get no requests (0: no checks)")
 	fs.StringVar(&c.Run, "run", "", "prefix of tokens and job names")
 	fs.Uint64Var(&c.Seed, "seed", 1, "seed of arrivals and mixes")
 	fs.Var((*addresses)(&j.Admins), "admin", "administration `addresses` of entry hosts, for jobs")
@@ -280,13 +280,13 @@
 	g, running := errgroup.WithContext(ctx)
 	if len(l.callers.Entries) > 0 {
 		g.Go(func() (err error) {
-			requests, err = generator.Call(running, l.callers)
+			requests, err = generator.RunCallers(running, l.callers)
 			return err
 		})
 	}
 	if l.jobs.Count > 0 {
 		g.Go(func() (err error) {
-			jobs, err = generator.Report(running, l.jobs)
+			jobs, err = generator.RunJobs(running, l.jobs)
 			return err
 		})
 	}
--- a/internal/emulator/backend.go
+++ b/internal/emulator/backend.go
@@ -26,10 +26,10 @@
 
 // Defaults of BackendOptions.
 const (
-	DefaultSlots       = 8
-	DefaultConnections = 64
-	DefaultServiceTime = 5 * time.Millisecond
-	DefaultAnswerSize  = 512 // bytes of padding
+	DefaultSlots              = 8
+	DefaultConnections        = 64
+	DefaultServiceTime        = 5 * time.Millisecond
+	DefaultAnswerPaddingBytes = 512 // bytes of padding
 	// maxCountedIdentities limits the memory of Executions: the number of request
 	// identities, and of tokens, whose executions are counted.
 	maxCountedIdentities = 1 << 20
@@ -49,16 +49,16 @@
 
 // BackendOptions configures a Backend. Zero fields take the defaults.
 type BackendOptions struct {
-	Service     string
-	Address     netip.AddrPort // zero: any loopback port
-	Slots       int
-	Connections int
-	ServiceTime time.Duration // mean, without slowdown
-	Shape       TimeShape     // default: lognormal
-	AnswerSize  int           // bytes of padding
-	Executions  *Executions   // shared by the instances of a test; default: its own
-	Faults      Faults
-	Seed        uint64
+	Service            string
+	Address            netip.AddrPort // zero: any loopback port
+	Slots              int
+	Connections        int
+	ServiceTime        time.Duration // mean, without slowdown
+	Shape              TimeShape     // default: lognormal
+	AnswerPaddingBytes int           // bytes of padding
+	Executions         *Executions   // shared by the instances of a test; default: its own
+	Faults             Faults
+	Seed               uint64
 }
 
 // BackendCounts counts the requests and connections of a backend server.
@@ -99,8 +99,8 @@
 	return e.byRequest[identity]
 }
 
-// Tokens returns how often the request of each caller's token ran.
-func (e *Executions) Tokens() map[string]int {
+// TokenCounts returns how often the request of each caller's token ran.
+func (e *Executions) TokenCounts() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := make(map[string]int, len(e.byToken))
@@ -142,8 +142,8 @@
 	if o.Shape == "" {
 		o.Shape = ShapeLogNormal
 	}
-	if o.AnswerSize <= 0 {
-		o.AnswerSize = DefaultAnswerSize
+	if o.AnswerPaddingBytes <= 0 {
+		o.AnswerPaddingBytes = DefaultAnswerPaddingBytes
 	}
 	if o.Executions == nil {
 		o.Executions = NewExecutions()
@@ -210,7 +210,7 @@
 	case "/counts":
 		writeJSON(ctx, b.Counts())
 	case "/executions":
-		writeJSON(ctx, b.options.Executions.Tokens())
+		writeJSON(ctx, b.options.Executions.TokenCounts())
 	default:
 		return false
 	}
@@ -297,7 +297,7 @@
 func (b *Backend) answerBody(token string, request []byte) string {
 	var s strings.Builder
 	fmt.Fprintf(&s, "token=%s\nservice=%s\nrequest=%016x\n", token, b.options.Service, xxhash.Sum64(request))
-	s.WriteString(strings.Repeat(".", b.options.AnswerSize))
+	s.WriteString(strings.Repeat(".", b.options.AnswerPaddingBytes))
 	s.WriteString("\n")
 	fmt.Fprintf(&s, "sum=%016x\n", xxhash.Sum64String(s.String()))
 	return s.String()
--- a/internal/emulator/interference.go
+++ b/internal/emulator/interference.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// DefaultStrength is the upper bound of the interference coefficients. A machine full
+	// DefaultMaxCoefficient is the upper bound of the interference coefficients. A machine full
 	// of neighbours with a coefficient of 1 slows a task by a factor of about 3.
-	DefaultStrength = 1.0
+	DefaultMaxCoefficient = 1.0
 	// minUsageRatio and maxUsageRatio bound used size divided by declared size: declared
 	// sizes are very inaccurate, but most exceed the usage.
 	minUsageRatio, maxUsageRatio = 0.4, 1.3
--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -25,23 +25,23 @@
 	SavedWork string        // last complete checkpoint when the run ended
 }
 
-// Ledger records the runs of all machines that share it.
-type Ledger struct {
+// RunLog records the runs of all machines that share it.
+type RunLog struct {
 	mu       sync.Mutex // guards all fields and the elements of runs
 	runs     []*Run
 	machines []*Machine
 }
 
-// NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{} }
+// NewRunLog returns an empty ledger.
+func NewRunLog() *RunLog { return &RunLog{} }
 
-func (l *Ledger) register(m *Machine) {
+func (l *RunLog) register(m *Machine) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.machines = append(l.machines, m)
 }
 
-func (l *Ledger) recordStart(worker string, c commander.Command, fromWork time.Duration, at time.Time) *Run {
+func (l *RunLog) recordStart(worker string, c commander.Command, fromWork time.Duration, at time.Time) *Run {
 	r := &Run{Task: c.Task, Attempt: c.Attempt, Kind: c.Kind, Worker: worker, Started: at, FromWork: fromWork}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,14 +49,14 @@
 	return r
 }
 
-func (l *Ledger) recordEnd(r *Run, state commander.TaskState, work time.Duration, checkpoint string, at time.Time) {
+func (l *RunLog) recordEnd(r *Run, state commander.TaskState, work time.Duration, checkpoint string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r.Ended, r.State, r.ToWork, r.SavedWork = at, state, work, checkpoint
 }
 
 // Runs advances the machines to the current time and returns a copy of all runs so far.
-func (l *Ledger) Runs() []Run {
+func (l *RunLog) Runs() []Run {
 	l.mu.Lock()
 	machines := slices.Clone(l.machines)
 	l.mu.Unlock()
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -33,7 +33,7 @@
 	CheckpointTime    time.Duration // duration of a checkpoint
 	ServiceLeaseGrace time.Duration // how long a service task keeps running after its lease has ended
 	Interference      *Interference // default: NewInterference(Seed, DefaultStrength)
-	Ledger            *Ledger       // shared by the machines of a test; default: its own
+	RunLog            *RunLog       // shared by the machines of a test; default: its own
 	Launch            Launcher      // starts instances; nil: service tasks have no address
 	Faults            Faults
 	Seed              uint64
@@ -128,13 +128,13 @@
 	setDefault(&o.CheckpointTime, DefaultCheckpointTime)
 	setDefault(&o.ServiceLeaseGrace, DefaultServiceLeaseGrace)
 	if o.Interference == nil {
-		o.Interference = NewInterference(o.Seed, DefaultStrength)
+		o.Interference = NewInterference(o.Seed, DefaultMaxCoefficient)
 	}
-	if o.Ledger == nil {
-		o.Ledger = NewLedger()
+	if o.RunLog == nil {
+		o.RunLog = NewRunLog()
 	}
 	m := &Machine{options: o, startedAt: start, faults: newFaultInjector(o.Faults, o.Seed), startedAttempts: make(map[string]bool)}
-	o.Ledger.register(m)
+	o.RunLog.register(m)
 	return m
 }
 
@@ -323,7 +323,7 @@
 	if !m.declaredLocked().Fits(m.options.Capacity) {
 		m.counts.Overcommits++
 	}
-	t.run = m.options.Ledger.recordStart(m.options.Name, c, t.progress, m.startedAt.Add(m.clock))
+	t.run = m.options.RunLog.recordStart(m.options.Name, c, t.progress, m.startedAt.Add(m.clock))
 	return ""
 }
 
@@ -418,7 +418,7 @@
 	if t.instance != nil {
 		t.instance.Stop()
 	}
-	m.options.Ledger.recordEnd(t.run, state, t.progress, t.checkpoint, m.startedAt.Add(m.clock))
+	m.options.RunLog.recordEnd(t.run, state, t.progress, t.checkpoint, m.startedAt.Add(m.clock))
 }
 
 // reportLocked builds the report. Its usage figures have the age ReportLag.
--- a/internal/emulator/machine_test.go
+++ b/internal/emulator/machine_test.go
@@ -46,7 +46,7 @@
 		is.Equal(s.State, commander.TaskStopped)
 		is.Equal(s.Checkpoint, "work:1.93s") // 2 s minus the start time and the checkpoint time
 		is.Equal(m.Counts().LeasesEnded, 1)
-		rs := m.options.Ledger.Runs()
+		rs := m.options.RunLog.Runs()
 		is.Equal(rs[0].Ended.Sub(rs[0].Started), 2*time.Second)
 	})
 }
@@ -83,7 +83,7 @@
 		m.Apply(1, "e1", []commander.Command{startCommand("a", 2, time.Second, time.Minute)})
 		is.Equal(m.Counts().DoubleStarts, 1)
 		time.Sleep(time.Millisecond)
-		is.Equal(len(Violations(m.options.Ledger.Runs(), time.Now())), 1)
+		is.Equal(len(Violations(m.options.RunLog.Runs(), time.Now())), 1)
 	})
 }
 
@@ -158,7 +158,7 @@
 		c.Checkpoint = s.Checkpoint
 		m.Apply(1, "e1", []commander.Command{c})
 		time.Sleep(1020 * time.Millisecond)
-		rs := m.options.Ledger.Runs()
+		rs := m.options.RunLog.Runs()
 		is.Equal(rs[1].State, commander.TaskFinished)
 		is.Equal(rs[1].FromWork, time.Second)
 		is.Equal(Violations(rs, time.Now()), nil)
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -16,8 +16,8 @@
 
 // Defaults of StoreOptions.
 const (
-	DefaultWriteRate = 400  // per second
-	DefaultReadRate  = 2000 // per second
+	DefaultWritesPerSecond = 400  // per second
+	DefaultReadsPerSecond  = 2000 // per second
 	// burstSeconds is the burst of the rate limits, in seconds of calls at the rate.
 	burstSeconds = 0.25
 	// DefaultMaxEvents is the size of the event log; older events are compacted.
@@ -28,10 +28,10 @@
 
 // StoreOptions configures a Store. Zero fields take the defaults.
 type StoreOptions struct {
-	WriteRate float64       // writes per second
-	ReadRate  float64       // reads per second
-	MaxEvents int           // size of the event log that watches read
-	HostLag   time.Duration // age of the host list
+	WritesPerSecond float64       // writes per second
+	ReadsPerSecond  float64       // reads per second
+	MaxEvents       int           // size of the event log that watches read
+	HostListAge     time.Duration // age of the host list
 }
 
 // StoreCounts counts calls by kind since the start. Waiting is the number of watches that
@@ -92,11 +92,11 @@
 
 // NewStore returns an empty store.
 func NewStore(o StoreOptions) *Store {
-	if o.WriteRate <= 0 {
-		o.WriteRate = DefaultWriteRate
+	if o.WritesPerSecond <= 0 {
+		o.WritesPerSecond = DefaultWritesPerSecond
 	}
-	if o.ReadRate <= 0 {
-		o.ReadRate = DefaultReadRate
+	if o.ReadsPerSecond <= 0 {
+		o.ReadsPerSecond = DefaultReadsPerSecond
 	}
 	if o.MaxEvents <= 0 {
 		o.MaxEvents = DefaultMaxEvents
@@ -106,8 +106,8 @@
 		values:        make(map[string]value),
 		leases:        make(map[string]*lease),
 		changed:       make(chan struct{}),
-		writes:        rate.NewLimiter(rate.Limit(o.WriteRate), max(1, int(o.WriteRate*burstSeconds))),
-		reads:         rate.NewLimiter(rate.Limit(o.ReadRate), max(1, int(o.ReadRate*burstSeconds))),
+		writes:        rate.NewLimiter(rate.Limit(o.WritesPerSecond), max(1, int(o.WritesPerSecond*burstSeconds))),
+		reads:         rate.NewLimiter(rate.Limit(o.ReadsPerSecond), max(1, int(o.ReadsPerSecond*burstSeconds))),
 		hostSnapshots: []hostSnapshot{{setAt: time.Now()}},
 	}
 }
@@ -288,11 +288,11 @@
 	if err := s.admitReadLocked(&s.counts.Hosts); err != nil {
 		return storer.HostList{}, err
 	}
-	visibleUntil := time.Now().Add(-s.options.HostLag)
+	visibleUntil := time.Now().Add(-s.options.HostListAge)
 	for len(s.hostSnapshots) > 1 && !s.hostSnapshots[1].setAt.After(visibleUntil) {
 		s.hostSnapshots = s.hostSnapshots[1:]
 	}
-	return storer.HostList{Hosts: slices.Clone(s.hostSnapshots[0].hosts), Age: s.options.HostLag}, nil
+	return storer.HostList{Hosts: slices.Clone(s.hostSnapshots[0].hosts), Age: s.options.HostListAge}, nil
 }
 
 // GrantLease creates a lease. Keys written with the lease are deleted when it ends.
--- a/internal/emulator/store_test.go
+++ b/internal/emulator/store_test.go
@@ -20,17 +20,17 @@
 		s := NewStore(StoreOptions{})
 		var limited *storer.RateLimitedError
 		refused := 0
-		for i := range 3 * DefaultWriteRate { // 1,200 writes in 2 s
+		for i := range 3 * DefaultWritesPerSecond { // 1,200 writes in 2 s
 			if _, _, err := s.CompareAndSwap(t.Context(), fmt.Sprint(i), 0, nil); err != nil {
 				is.True(errors.As(err, &limited))
 				refused++
 			}
-			time.Sleep(2 * time.Second / (3 * DefaultWriteRate))
+			time.Sleep(2 * time.Second / (3 * DefaultWritesPerSecond))
 		}
 		c := s.Counts()
-		is.Equal(c.CompareAndSwap, 3*DefaultWriteRate)
+		is.Equal(c.CompareAndSwap, 3*DefaultWritesPerSecond)
 		is.Equal(c.RefusedWrites, refused)
-		most := 2*DefaultWriteRate + int(DefaultWriteRate*burstSeconds) + 1
+		most := 2*DefaultWritesPerSecond + int(DefaultWritesPerSecond*burstSeconds) + 1
 		is.True(c.Swapped <= most)
 		is.True(c.Swapped > most-5)
 	})
@@ -94,7 +94,7 @@
 func TestHostListLags(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		s := NewStore(StoreOptions{HostLag: 3 * time.Second})
+		s := NewStore(StoreOptions{HostListAge: 3 * time.Second})
 		s.SetHosts([]storer.Host{{Name: "e1", State: storer.HostLeaving}})
 		time.Sleep(2 * time.Second)
 		l, err := s.Hosts(t.Context())
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -103,9 +103,9 @@
 	case "/counts":
 		writeJSON(ctx, w.Counts())
 	case "/runs":
-		writeJSON(ctx, w.Machine.options.Ledger.Runs())
+		writeJSON(ctx, w.Machine.options.RunLog.Runs())
 	case "/executions":
-		writeJSON(ctx, w.options.Executions.Tokens())
+		writeJSON(ctx, w.options.Executions.TokenCounts())
 	case "/leaving":
 		var in struct{ Leaving bool }
 		if decodeBody(ctx, &in) {
--- a/internal/evaluator/evaluator_test.go
+++ b/internal/evaluator/evaluator_test.go
@@ -27,7 +27,7 @@
 	is := is.New(t)
 	var out [2]bytes.Buffer
 	for i := range out {
-		rows := Evaluate([]Firm{Firms()[0].Scaled(0.2)}, []Scenario{scenario(t, "noisy+host"), scenario(t, "rolling")}, []Policies{Product}, []uint64{101}, 30*time.Second, time.Minute)
+		rows := Evaluate([]Firm{Firms()[0].Scaled(0.2)}, []Scenario{scenario(t, "noisy+host"), scenario(t, "rolling")}, []Policies{ProductPolicies}, []uint64{101}, 30*time.Second, time.Minute)
 		is.NoErr(Print(&out[i], rows))
 	}
 	is.Equal(out[0].String(), out[1].String())
@@ -38,7 +38,7 @@
 // processor time with the race detector; with a fifth of the hosts a failure domain has too
 // few instances to choose among.
 var targetRows = sync.OnceValue(func() []Row {
-	return evaluate(append([]Policies{Product}, Baselines()...), "steady", "noisy", "slow")
+	return evaluate(append([]Policies{ProductPolicies}, BaselinePolicies()...), "steady", "noisy", "slow")
 })
 
 func evaluate(policies []Policies, names ...string) []Row {
@@ -57,7 +57,7 @@
 // each firm and scenario. better reports whether a is better than b.
 func compareWithBaselines[T cmp.Ordered](value func(*Row) T, better func(a, b T) bool, f func(product *Row, best T)) {
 	rows := targetRows()
-	step := 1 + len(Baselines())
+	step := 1 + len(BaselinePolicies())
 	for i := 0; i < len(rows); i += step {
 		best := value(&rows[i+1])
 		for j := i + 2; j < i+step; j++ {
@@ -75,8 +75,8 @@
 // TestGuarantees guards against policies that reach their targets by violating a guarantee.
 func TestGuarantees(t *testing.T) {
 	for _, r := range targetRows() {
-		if r.Policies == Product.Name && len(r.Broken) > 0 {
-			t.Errorf("%s %s: violations by guarantee %v, first ones %v", r.Firm, r.Scenario, r.Broken, r.Example)
+		if r.Policies == ProductPolicies.Name && len(r.Violations) > 0 {
+			t.Errorf("%s %s: violations by guarantee %v, first ones %v", r.Firm, r.Scenario, r.Violations, r.FirstViolation)
 		}
 	}
 }
@@ -129,8 +129,8 @@
 // capacity.
 func TestTargetGoodput(t *testing.T) {
 	goodput := map[[2]string]float64{}
-	for _, r := range evaluate([]Policies{Product}, "capacity", "overload") {
-		if r.Policies == Product.Name {
+	for _, r := range evaluate([]Policies{ProductPolicies}, "capacity", "overload") {
+		if r.Policies == ProductPolicies.Name {
 			goodput[[2]string{r.Firm, r.Scenario}] = r.Goodput
 		}
 	}
@@ -145,7 +145,7 @@
 // TestTargetUrgent guards against urgent jobs that start later than 6.1 s.
 func TestTargetUrgent(t *testing.T) {
 	for _, r := range targetRows() {
-		if r.Policies == Product.Name && r.UrgentStart > 6100*time.Millisecond {
+		if r.Policies == ProductPolicies.Name && r.UrgentStart > 6100*time.Millisecond {
 			t.Errorf("%s %s seed %d: an urgent job started after %v", r.Firm, r.Scenario, r.Seed, r.UrgentStart)
 		}
 	}
--- a/internal/evaluator/firm.go
+++ b/internal/evaluator/firm.go
@@ -61,12 +61,12 @@
 	Retries   configurator.RetryPolicy
 }
 
-// Product is the set of policies that the product uses by default.
-var Product = Policies{"product", configurator.RoutingAdaptive, configurator.PlacementInterference, configurator.LimitFair, configurator.RetryBudget}
+// ProductPolicies is the set of policies that the product uses by default.
+var ProductPolicies = Policies{"product", configurator.RoutingAdaptive, configurator.PlacementInterference, configurator.LimitFair, configurator.RetryBudget}
 
-// Baselines returns all combinations of the baseline routing and placement policies, each
+// BaselinePolicies returns all combinations of the baseline routing and placement policies, each
 // with fixed limits and three immediate retries.
-func Baselines() []Policies {
+func BaselinePolicies() []Policies {
 	const limits, retries = configurator.LimitFixed, configurator.RetryImmediate3
 	return []Policies{
 		{"round-robin+first-fit", configurator.RoutingRoundRobin, configurator.PlacementFirstFit, limits, retries},
--- a/internal/evaluator/simulation.go
+++ b/internal/evaluator/simulation.go
@@ -40,8 +40,8 @@
 	Throttles        int            // throttle commands
 	Throughput       float64        // core hours of useful batch work
 	UrgentStart      time.Duration  // longest time from submission to start of an urgent job
-	Broken           map[int]int    // violations by guarantee
-	Example          map[int]string // first violation by guarantee
+	Violations       map[int]int    // violations by guarantee
+	FirstViolation   map[int]string // first violation by guarantee
 }
 
 // simulation is the state of one run.
@@ -97,7 +97,7 @@
 	sm.measureFrom = sm.start.Add(c.WarmUp)
 	sm.end = sm.measureFrom.Add(c.Length)
 	sm.interference = newInterferenceModel(c.Firm.Services, newRandom(c.Seed, streamInterference))
-	sm.result.Broken, sm.result.Example = map[int]int{}, map[int]string{}
+	sm.result.Violations, sm.result.FirstViolation = map[int]int{}, map[int]string{}
 	sm.buildCluster()
 	c.Scenario.setUp(sm)
 	sm.startLoad()
@@ -124,8 +124,8 @@
 
 // recordViolation counts a violation of a guarantee. It counts during the warm-up as well.
 func (sm *simulation) recordViolation(guarantee int, example string) {
-	if sm.result.Broken[guarantee]++; sm.result.Broken[guarantee] == 1 {
-		sm.result.Example[guarantee] = fmt.Sprintf("at %s: %s", sm.now.Sub(sm.measureFrom), example)
+	if sm.result.Violations[guarantee]++; sm.result.Violations[guarantee] == 1 {
+		sm.result.FirstViolation[guarantee] = fmt.Sprintf("at %s: %s", sm.now.Sub(sm.measureFrom), example)
 	}
 }
 
--- a/internal/evaluator/table.go
+++ b/internal/evaluator/table.go
@@ -70,7 +70,7 @@
 func (r *Row) violations() string {
 	var out []string
 	for g := 1; g <= 9; g++ {
-		if n := r.Broken[g]; n > 0 {
+		if n := r.Violations[g]; n > 0 {
 			out = append(out, fmt.Sprintf("%d:%d", g, n))
 		}
 	}
--- a/internal/generator/callers.go
+++ b/internal/generator/callers.go
@@ -35,20 +35,20 @@
 // CallerOptions configures a run of callers. The run ends after Count requests or after
 // Duration, whichever is first. A Count of 0 means MaxCount, a Duration of 0 MaxDuration.
 type CallerOptions struct {
-	Entries     []netip.AddrPort // caller addresses of entry hosts, used round-robin
-	Rate        float64          // requests per second
-	Count       int
-	Duration    time.Duration
-	Services    Mix
-	Tenants     Mix
-	Classes     Mix     // urgent and normal
-	Repeatable  float64 // share of requests that may be repeated
-	Timeout     time.Duration
-	BodySize    int // bytes
-	MaxInFlight int
-	HealthEvery time.Duration // if above 0, the interval of GET /ready; hosts that are not ready get no requests, as with the platform's load balancer
-	Run         string        // prefix of the tokens; must be unique among the runs against the same backend servers
-	Seed        uint64
+	Entries           []netip.AddrPort // caller addresses of entry hosts, used round-robin
+	Rate              float64          // requests per second
+	Count             int
+	Duration          time.Duration
+	Services          Mix
+	Tenants           Mix
+	Classes           Mix     // urgent and normal
+	Repeatable        float64 // share of requests that may be repeated
+	Timeout           time.Duration
+	BodyBytes         int // bytes
+	MaxInFlight       int
+	ReadinessInterval time.Duration // if above 0, the interval of GET /ready; hosts that are not ready get no requests, as with the platform's load balancer
+	Run               string        // prefix of the tokens; must be unique among the runs against the same backend servers
+	Seed              uint64
 }
 
 func (o CallerOptions) withDefaults() (CallerOptions, error) {
@@ -73,9 +73,9 @@
 	return o, nil
 }
 
-// Call sends requests at the given rate until Count or Duration is reached or ctx is done,
+// RunCallers sends requests at the given rate until Count or Duration is reached or ctx is done,
 // and waits for their outcomes. Arrivals are a Poisson process, independent of answers.
-func Call(ctx context.Context, o CallerOptions) (*Result, error) {
+func RunCallers(ctx context.Context, o CallerOptions) (*Result, error) {
 	o, err := o.withDefaults()
 	if err != nil {
 		return nil, err
@@ -114,7 +114,7 @@
 // pollReadiness polls the readiness of the entry hosts until the returned function is
 // called.
 func (c *callers) pollReadiness(ctx context.Context) func() {
-	if c.options.HealthEvery <= 0 {
+	if c.options.ReadinessInterval <= 0 {
 		return func() {}
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -124,7 +124,7 @@
 			for {
 				status, _, err := e.GetTimeout(nil, "http://"+e.Addr+"/ready", readinessTimeout)
 				e.unavailable.Store(err != nil || status != fasthttp.StatusOK)
-				if !sleepUntil(ctx, time.Now().Add(c.options.HealthEvery)) {
+				if !sleepUntil(ctx, time.Now().Add(c.options.ReadinessInterval)) {
 					return
 				}
 			}
@@ -210,7 +210,7 @@
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	body := make([]byte, c.options.BodySize)
+	body := make([]byte, c.options.BodyBytes)
 	copy(body, rec.Token)
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.SetRequestURI("http://" + client.Addr + "/services/" + rec.Service + "/work?token=" + rec.Token)
--- a/internal/generator/generator_test.go
+++ b/internal/generator/generator_test.go
@@ -62,9 +62,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(stop)
-	r, err := Call(t.Context(), CallerOptions{
+	r, err := RunCallers(t.Context(), CallerOptions{
 		Entries: []netip.AddrPort{startEntryHostStub(t, address)}, Rate: 2000, Count: 200, Services: mustParseMix(t, "quotes"),
-		Classes: mustParseMix(t, "urgent:1,normal:3"), Tenants: mustParseMix(t, "a,b"), Repeatable: 0.5, BodySize: 64, Seed: 1,
+		Classes: mustParseMix(t, "urgent:1,normal:3"), Tenants: mustParseMix(t, "a,b"), Repeatable: 0.5, BodyBytes: 64, Seed: 1,
 		Timeout: time.Minute, // not reached on a busy machine
 	})
 	if err != nil {
@@ -81,7 +81,7 @@
 	is.Equal(len(r.Records()), 200)
 	is.Equal(r.Count(Answered)+r.Count(NotRun), 200)
 	is.Equal(r.Problems(), nil)
-	is.Equal(r.Violations(b.Executions().Tokens(), true), nil)
+	is.Equal(r.Violations(b.Executions().TokenCounts(), true), nil)
 	is.True(r.Quantile("normal", 0.99) > 0)
 }
 
@@ -123,7 +123,7 @@
 	is.Equal(o.Duration, MaxDuration)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	r, err := Call(ctx, o)
+	r, err := RunCallers(ctx, o)
 	is.NoErr(err)
 	is.Equal(len(r.Records()), 0)
 }
--- a/internal/generator/jobs.go
+++ b/internal/generator/jobs.go
@@ -62,8 +62,8 @@
 	return ctx.Err()
 }
 
-// Report is like Submit but returns a new Result.
-func Report(ctx context.Context, o JobOptions) (*Result, error) {
+// RunJobs is like Submit but returns a new Result.
+func RunJobs(ctx context.Context, o JobOptions) (*Result, error) {
 	r := newResult()
 	return r, Submit(ctx, o, r)
 }
--- a/internal/harness/cluster_test.go
+++ b/internal/harness/cluster_test.go
@@ -35,21 +35,21 @@
 	w := &workload{t: t, cluster: c, requests: make(chan *generator.Result, 1), jobs: make(chan *generator.Result, 1)}
 	callers := generator.CallerOptions{
 		Entries: c.Callers(), Rate: 200, Count: 200 * seconds, Services: mix("quotes"), Tenants: mix("mill,office"), Classes: mix("normal:3,urgent:1"),
-		Repeatable: 0.5, Timeout: 2 * time.Second, HealthEvery: 200 * time.Millisecond, Run: "run", Seed: 1,
+		Repeatable: 0.5, Timeout: 2 * time.Second, ReadinessInterval: 200 * time.Millisecond, Run: "run", Seed: 1,
 	}
 	submissions := generator.JobOptions{
 		Admins: c.Admins(), Rate: float64(jobs) / float64(seconds), Count: jobs, Classes: mix("plan"), Teams: mix("mill,office"),
 		Duration: 2 * time.Second, Wait: harness.WaitTimeout, RetryFor: harness.WaitTimeout, Run: "run", Seed: 1,
 	}
 	go func() {
-		r, err := generator.Call(t.Context(), callers)
+		r, err := generator.RunCallers(t.Context(), callers)
 		if err != nil {
 			t.Error(err)
 		}
 		w.requests <- r
 	}()
 	go func() {
-		r, err := generator.Report(t.Context(), submissions)
+		r, err := generator.RunJobs(t.Context(), submissions)
 		if err != nil {
 			t.Error(err)
 		}
--- a/internal/storer/client_test.go
+++ b/internal/storer/client_test.go
@@ -87,7 +87,7 @@
 		{"answer late", emulator.PlatformOptions{Faults: emulator.Faults{LateAnswers: 1, LateBy: 2 * time.Second}}, 1, &unknown, 1},
 		{"no answer after the effect", emulator.PlatformOptions{Faults: emulator.Faults{CutAnswers: true}}, 1, &unknown, 1},
 		{"request lost", emulator.PlatformOptions{Faults: emulator.Faults{CutRequests: true}}, 1, &unknown, 0},
-		{"rate limit exceeded", emulator.PlatformOptions{StoreOptions: emulator.StoreOptions{WriteRate: 1e-9}}, 1, &limited, 1},
+		{"rate limit exceeded", emulator.PlatformOptions{StoreOptions: emulator.StoreOptions{WritesPerSecond: 1e-9}}, 1, &limited, 1},
 		{"value too large", emulator.PlatformOptions{}, storer.MaxValueBytes + 1, &large, 0},
 	}
 	for _, c := range cases {
