--- a/internal/keeper/doc.go
+++ b/internal/lessor/doc.go
@@ -1,4 +1,4 @@
-// Package keeper implements the lease of a shard: until when the owner may act on the shard
+// Package lessor implements the lease of a shard: until when the owner may act on the shard
 // (Tenure) and from when another entry host may claim it (Successor). It does no I/O and
 // reads no clock: all times are passed in and must come from one monotonic clock per process.
 //
@@ -8,4 +8,4 @@
 // Margin, so that it ends first although the two clocks drift apart.
 //
 // Values of these types are not safe for concurrent use.
-package keeper
+package lessor
--- a/internal/keeper/keeper_test.go
+++ b/internal/lessor/lessor_test.go
@@ -1,4 +1,4 @@
-package keeper_test
+package lessor_test
 
 import (
 	"flag"
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"peridotpitch/internal/keeper"
+	"peridotpitch/internal/lessor"
 )
 
 // TestMain fixes the seed unless the command line sets it, so that CI is deterministic.
@@ -32,8 +32,8 @@
 // successors, for longer than its successors wait.
 func TestLease(t *testing.T) {
 	is := is.New(t)
-	o := keeper.NewLease(ttl, []string{"b", "c"}, at(0))
-	end := ttl - keeper.Margin(ttl)
+	o := lessor.NewLease(ttl, []string{"b", "c"}, at(0))
+	end := ttl - lessor.Margin(ttl)
 	is.Equal(o.Expiry(), at(end))
 	is.True(o.Valid(at(end - 1)))
 	is.True(!o.Valid(at(end)))
@@ -49,8 +49,8 @@
 	o.RecordPromise("b", at(9*time.Second))
 	o.RecordPromise("c", at(9*time.Second))
 	is.Equal(o.Expiry(), at(5*time.Second+end)) // d has not promised
-	is.True(keeper.NewLease(ttl, nil, time.Time{}).Expiry().IsZero())
-	single := keeper.NewLease(ttl, nil, at(0))
+	is.True(lessor.NewLease(ttl, nil, time.Time{}).Expiry().IsZero())
+	single := lessor.NewLease(ttl, nil, at(0))
 	single.RecordPromise("b", at(9*time.Second))
 	is.Equal(single.Expiry(), at(end)) // without successors only renewals in the store count
 }
@@ -59,9 +59,9 @@
 // conditions of MayClaim is not met.
 func TestClaimConditions(t *testing.T) {
 	is := is.New(t)
-	s := keeper.NewSuccessor(ttl, at(0))
+	s := lessor.NewSuccessor(ttl, at(0))
 	is.True(!s.MayClaim("x", at(time.Hour))) // no version read yet
-	v := keeper.Version{Epoch: 4, Renewal: 7}
+	v := lessor.Version{Epoch: 4, Renewal: 7}
 	s.RecordVersion("x", v, at(time.Second))
 	is.True(!s.MayClaim("x", at(3*time.Second)))
 	s.RecordVersion("x", v, at(3*time.Second)) // unchanged: the first reading counts
@@ -75,7 +75,7 @@
 	is.True(!s.MayClaim("x", at(8*time.Second)))
 	s.ClaimResolved("x")
 	is.True(s.Promise("x", 5, at(8*time.Second)))
-	restarted := keeper.NewSuccessor(ttl, at(10*time.Second))
+	restarted := lessor.NewSuccessor(ttl, at(10*time.Second))
 	restarted.RecordVersion("x", v, at(9*time.Second))
 	is.True(!restarted.MayClaim("x", at(13*time.Second-1))) // a promise of an earlier process may be in effect
 	is.True(restarted.MayClaim("x", at(13*time.Second)))
@@ -99,12 +99,12 @@
 			return at(time.Duration(float64(step) * float64(n) * (1 + drift[host])))
 		}
 		names := []string{"0", "1", "2"}
-		owner := keeper.NewLease(ttl, names[1:], local(0, 0))
-		version := keeper.Version{Epoch: 1}
-		var successors [hosts]*keeper.Successor
+		owner := lessor.NewLease(ttl, names[1:], local(0, 0))
+		version := lessor.Version{Epoch: 1}
+		var successors [hosts]*lessor.Successor
 		var inTransit [hosts]map[int][]heartbeat
 		for i := 1; i < hosts; i++ {
-			successors[i] = keeper.NewSuccessor(ttl, local(i, 0))
+			successors[i] = lessor.NewSuccessor(ttl, local(i, 0))
 			inTransit[i] = make(map[int][]heartbeat)
 		}
 		answers := make(map[int][]func())
@@ -155,7 +155,7 @@
 
 func ExampleLease() {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	t := keeper.NewLease(3*time.Second, []string{"b"}, start)
+	t := lessor.NewLease(3*time.Second, []string{"b"}, start)
 	t.RecordPromise("b", start.Add(time.Second))
 	fmt.Println(t.Expiry().Sub(start), t.Valid(start.Add(3*time.Second)))
 	// Output: 3.92s true
@@ -163,8 +163,8 @@
 
 func ExampleSuccessor() {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	s := keeper.NewSuccessor(3*time.Second, start)
-	s.RecordVersion("malolos/0", keeper.Version{Epoch: 1}, start)
+	s := lessor.NewSuccessor(3*time.Second, start)
+	s.RecordVersion("malolos/0", lessor.Version{Epoch: 1}, start)
 	fmt.Println(s.Promise("malolos/0", 1, start.Add(time.Second)))
 	fmt.Println(s.MayClaim("malolos/0", start.Add(3*time.Second)), s.MayClaim("malolos/0", start.Add(4*time.Second)))
 	// Output:
--- a/internal/keeper/successor.go
+++ b/internal/lessor/successor.go
@@ -1,4 +1,4 @@
-package keeper
+package lessor
 
 import "time"
 
--- a/internal/proprietor/claim.go
+++ b/internal/proprietor/claim.go
@@ -12,7 +12,7 @@
 
 	"peridotpitch/internal/commander"
 	"peridotpitch/internal/configurator"
-	"peridotpitch/internal/keeper"
+	"peridotpitch/internal/lessor"
 	"peridotpitch/internal/scheduler"
 	"peridotpitch/internal/storer"
 )
@@ -263,7 +263,7 @@
 // cacheJournalLocked caches a version of a journal. The caller holds mutex.
 func (p *Owner) cacheJournalLocked(k *cachedJournal, j *scheduler.Journal, revision uint64, now time.Time) {
 	k.journal, k.revision, k.undecodable = *j, revision, false
-	v := keeper.Version{Epoch: j.Epoch, Renewal: j.Renewal, Writer: j.Writer, Sequence: j.Sequence}
+	v := lessor.Version{Epoch: j.Epoch, Renewal: j.Renewal, Writer: j.Writer, Sequence: j.Sequence}
 	p.placingSuccessor.RecordVersion(j.Shard, v, now)
 	p.runningSuccessor.RecordVersion(j.Shard, v, now)
 }
--- a/internal/proprietor/ownership.go
+++ b/internal/proprietor/ownership.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"peridotpitch/internal/configurator"
-	"peridotpitch/internal/keeper"
+	"peridotpitch/internal/lessor"
 	"peridotpitch/internal/messenger"
 	"peridotpitch/internal/placer"
 	"peridotpitch/internal/recorder"
@@ -27,8 +27,8 @@
 
 	mutex                    sync.Mutex
 	shard                    *scheduler.Shard
-	placingLease             *keeper.Lease
-	runningLease             *keeper.Lease
+	placingLease             *lessor.Lease
+	runningLease             *lessor.Lease
 	lastLeaseEvent           scheduler.OwnershipLeaseChanged
 	earlierOwnersEndAt       time.Time
 	earlierRunningSuccessors []string // running successors in the journal of the previous owner
@@ -62,8 +62,8 @@
 	p.mutex.Unlock()
 	o := &ownedShard{
 		owner: p, name: j.Shard, epoch: j.Epoch, context: ctx, cancel: stop, revision: revision,
-		placingLease:             keeper.NewLease(p.placingTTL, j.Successors, sentAt),
-		runningLease:             keeper.NewLease(p.runningTTL, j.RunningSuccessors, sentAt),
+		placingLease:             lessor.NewLease(p.placingTTL, j.Successors, sentAt),
+		runningLease:             lessor.NewLease(p.runningTTL, j.RunningSuccessors, sentAt),
 		earlierRunningSuccessors: earlier.RunningSuccessors,
 		pendingRequests:          make(map[uint64]chan scheduler.AnswerSubmission),
 	}
--- a/internal/proprietor/proprietor.go
+++ b/internal/proprietor/proprietor.go
@@ -14,7 +14,7 @@
 
 	"peridotpitch/internal/commander"
 	"peridotpitch/internal/configurator"
-	"peridotpitch/internal/keeper"
+	"peridotpitch/internal/lessor"
 	"peridotpitch/internal/messenger"
 	"peridotpitch/internal/recorder"
 	"peridotpitch/internal/scheduler"
@@ -131,8 +131,8 @@
 	random           *rand.Rand
 	config           *configurator.Configuration
 	leaving          map[string]bool
-	placingSuccessor *keeper.Successor // leases for placing, in this failure domain; nil before the first configuration
-	runningSuccessor *keeper.Successor
+	placingSuccessor *lessor.Successor // leases for placing, in this failure domain; nil before the first configuration
+	runningSuccessor *lessor.Successor
 	placingTTL       time.Duration // TTL of the lease for placing tasks
 	runningTTL       time.Duration // TTL of the lease for running tasks
 	shards           map[string]*ownedShard
@@ -243,8 +243,8 @@
 	if p.placingSuccessor == nil {
 		p.placingTTL = cmp.Or(c.Policy.OwnershipTTL, configurator.DefaultOwnershipTTL)
 		p.runningTTL = cmp.Or(c.Policy.JobRecoveryDelay, configurator.DefaultJobRecoveryDelay)
-		p.placingSuccessor = keeper.NewSuccessor(p.placingTTL, p.startedAt)
-		p.runningSuccessor = keeper.NewSuccessor(p.runningTTL, p.startedAt)
+		p.placingSuccessor = lessor.NewSuccessor(p.placingTTL, p.startedAt)
+		p.runningSuccessor = lessor.NewSuccessor(p.runningTTL, p.startedAt)
 	}
 	p.config = c
 	owned, leaving := p.sortedShardsLocked(), p.leaving
@@ -371,7 +371,7 @@
 
 // successorFor returns the successor state of this host for shards of a failure domain, or
 // nil if this host cannot succeed their owners.
-func (p *Owner) successorFor(domain string, k messenger.LeaseKind) *keeper.Successor {
+func (p *Owner) successorFor(domain string, k messenger.LeaseKind) *lessor.Successor {
 	switch {
 	case k == messenger.LeasePlacing && domain == p.settings.FailureDomain:
 		return p.placingSuccessor
--- a/internal/scheduler/work.go
+++ b/internal/scheduler/work.go
@@ -8,13 +8,13 @@
 
 	"peridotpitch/internal/commander"
 	"peridotpitch/internal/configurator"
-	"peridotpitch/internal/keeper"
+	"peridotpitch/internal/lessor"
 	"peridotpitch/internal/recorder"
 )
 
 // leaseDriftMargin covers the drift between the clocks of the worker and the owner during
 // one batch lease.
-var leaseDriftMargin = keeper.Margin(BatchLeaseDuration)
+var leaseDriftMargin = lessor.Margin(BatchLeaseDuration)
 
 // worker is the state that the shard keeps for one of its workers.
 type worker struct {
