--- a/internal/server/endpoints_test.go
+++ b/internal/server/endpoints_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 
 	"peridotpitch/internal/messenger"
-	"peridotpitch/internal/proprietor"
 	"peridotpitch/internal/router"
+	"peridotpitch/internal/shardowner"
 )
 
 // Guards against a takeover that removes all instances: the new owner reports none until
@@ -42,7 +42,7 @@
 	g, now := newGranter("e1"), time.Unix(0, 0)
 	es := []messenger.Endpoint{{Instance: "q1", Shard: "A/1", Slots: 8, Connections: 64}}
 	remaining := time.Second
-	shards := []proprietor.ShardStatus{{Shard: "A/1", Owner: "e1", Epoch: 1, PlacingUntil: now.Add(remaining)}}
+	shards := []shardowner.ShardStatus{{Shard: "A/1", Owner: "e1", Epoch: 1, PlacingUntil: now.Add(remaining)}}
 	g.update(shards, es, []string{"e1"}, true, 0, now)
 	report := router.DemandReport{Host: "e1", Incarnation: "a", Sequence: 1, RunningFor: time.Hour, Demand: []messenger.SlotDemand{{Instance: "q1", Wanted: 8}}}
 	grants := g.handleReport(report, now)
--- a/internal/server/granter.go
+++ b/internal/server/granter.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"peridotpitch/internal/messenger"
-	"peridotpitch/internal/proprietor"
 	"peridotpitch/internal/router"
+	"peridotpitch/internal/shardowner"
 )
 
 // shardAllocator grants the pool slots of one shard during one epoch of this host.
@@ -29,7 +29,7 @@
 
 // update replaces the set of shards that this host owns, their instances and the entry
 // hosts of the failure domain. settled has the meaning of router.Membership.Settled.
-func (g *granter) update(shards []proprietor.ShardStatus, es []messenger.Endpoint, hosts []string, settled bool, maxRequestTimeout time.Duration, now time.Time) {
+func (g *granter) update(shards []shardowner.ShardStatus, es []messenger.Endpoint, hosts []string, settled bool, maxRequestTimeout time.Duration, now time.Time) {
 	byShard := make(map[string][]messenger.Endpoint)
 	for _, e := range es {
 		byShard[e.Shard] = append(byShard[e.Shard], e)
--- a/internal/server/jobs.go
+++ b/internal/server/jobs.go
@@ -9,8 +9,8 @@
 	"peridotpitch/internal/administrator"
 	"peridotpitch/internal/configurator"
 	"peridotpitch/internal/messenger"
-	"peridotpitch/internal/proprietor"
 	"peridotpitch/internal/scheduler"
+	"peridotpitch/internal/shardowner"
 )
 
 // unknownHostError reports that there is no link to an entry host of this name.
@@ -47,7 +47,7 @@
 	owner := h.shardOwner(shard)
 	if owner == h.settings.Name {
 		a, err := local()
-		var notOwner *proprietor.NotOwnerError
+		var notOwner *shardowner.NotOwnerError
 		if !errors.As(err, &notOwner) {
 			return a, err
 		}
@@ -98,7 +98,7 @@
 // refuseNotOwner converts a NotOwnerError to a refusal. The calling host determines the
 // owner again when the request is repeated.
 func refuseNotOwner(a messenger.JobAnswer, err error) (messenger.JobAnswer, error) {
-	var notOwner *proprietor.NotOwnerError
+	var notOwner *shardowner.NotOwnerError
 	if errors.As(err, &notOwner) {
 		return messenger.JobAnswer{Reason: notOwner.Error()}, nil
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -28,12 +28,12 @@
 	"peridotpitch/internal/limiter"
 	"peridotpitch/internal/loader"
 	"peridotpitch/internal/messenger"
-	"peridotpitch/internal/proprietor"
 	"peridotpitch/internal/publisher"
 	"peridotpitch/internal/receiver"
 	"peridotpitch/internal/recorder"
 	"peridotpitch/internal/registrar"
 	"peridotpitch/internal/router"
+	"peridotpitch/internal/shardowner"
 	"peridotpitch/internal/storer"
 )
 
@@ -71,7 +71,7 @@
 	records    *recorder.Recorder
 	follower   *publisher.Follower
 	publisher  *publisher.Publisher
-	owner      *proprietor.Owner
+	owner      *shardowner.Owner
 	dispatcher *dispatcher.Dispatcher
 	forwarder  *forwarder.Forwarder
 	peers      *peerTable
@@ -140,7 +140,7 @@
 	closers = append(closers, h.peers.closeAll)
 	h.publisher = publisher.NewPublisher(h.store, s.OperatorKeys, h.incarnation, time.Now)
 
-	owner, closeOwner, err := proprietor.New(proprietor.Settings{
+	owner, closeOwner, err := shardowner.New(shardowner.Settings{
 		Host: s.Name, FailureDomain: s.FailureDomain, Incarnation: h.incarnation,
 		Store: h.store, Workers: workers, Random: newRandom(), Logger: log, Record: h.recordScheduling,
 	})
--- a/internal/proprietor/doc.go
+++ b/internal/shardowner/doc.go
@@ -1,8 +1,8 @@
-// Package proprietor runs the shards that one entry host owns. It loads journals from
+// Package shardowner runs the shards that one entry host owns. It loads journals from
 // the store, watches the journals of other owners, claims a shard once its owner's lease
 // has certainly ended, and carries out the actions of scheduler.Shard against the store
 // and the workers.
 //
 // Lock order: Proprietor.mutex, then ownedShard.mutex, then Proprietor.closeMutex. None
 // of them is held during I/O.
-package proprietor
+package shardowner
--- a/internal/proprietor/fake_test.go
+++ b/internal/shardowner/fake_test.go
@@ -1,4 +1,4 @@
-package proprietor_test
+package shardowner_test
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"peridotpitch/internal/commander"
 	"peridotpitch/internal/configurator"
 	"peridotpitch/internal/messenger"
-	"peridotpitch/internal/proprietor"
 	"peridotpitch/internal/scheduler"
+	"peridotpitch/internal/shardowner"
 	"peridotpitch/internal/storer"
 )
 
@@ -56,7 +56,7 @@
 
 type fakeHost struct {
 	name, domain string
-	owner        *proprietor.Owner
+	owner        *shardowner.Owner
 	stop         func()
 	paused       bool
 	startedAt    time.Time
@@ -147,7 +147,7 @@
 	}
 	h := &fakeHost{name: name, domain: domain, startedAt: time.Now()}
 	seed := uint64(len(name)) + uint64(time.Since(cl.startedAt))
-	p, stop, err := proprietor.New(proprietor.Settings{
+	p, stop, err := shardowner.New(shardowner.Settings{
 		Host: name, FailureDomain: domain, Incarnation: fmt.Sprintf("%s-%d", name, time.Since(cl.startedAt)),
 		Store: &fakeStore{cl, h}, Workers: &fakeWorkerClient{cl, h}, Random: rand.New(rand.NewPCG(seed, 1)),
 	})
--- a/internal/proprietor/load_test.go
+++ b/internal/shardowner/load_test.go
@@ -1,4 +1,4 @@
-package proprietor_test
+package shardowner_test
 
 import (
 	"fmt"
--- a/internal/proprietor/ownership.go
+++ b/internal/shardowner/ownership.go
@@ -1,4 +1,4 @@
-package proprietor
+package shardowner
 
 import (
 	"context"
--- a/internal/proprietor/proprietor_test.go
+++ b/internal/shardowner/shardowner_test.go
@@ -1,11 +1,11 @@
-package proprietor_test
+package shardowner_test
 
 import (
 	"context"
 	"fmt"
 	"peridotpitch/internal/messenger"
-	"peridotpitch/internal/proprietor"
 	"peridotpitch/internal/scheduler"
+	"peridotpitch/internal/shardowner"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -56,7 +56,7 @@
 	defer h.stop()
 	_, err := h.owner.Submit(context.Background(), scheduler.JobSpec{Name: "dent-repair-12", Class: "repair"})
 	fmt.Println(err) // no shard is claimed within the first TTL
-	_, _, err = proprietor.New(proprietor.Settings{Host: "a0"})
+	_, _, err = shardowner.New(shardowner.Settings{Host: "a0"})
 	fmt.Println(err)
 	// Output:
 	// shard a/0 is owned by "", not by this host
--- a/internal/surveyor/store.go
+++ b/internal/surveyor/store.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"peridotpitch/internal/emulator"
-	"peridotpitch/internal/proprietor"
 	"peridotpitch/internal/scheduler"
+	"peridotpitch/internal/shardowner"
 	"peridotpitch/internal/storer"
 )
 
@@ -113,12 +113,12 @@
 	for i, w := range c.Workers {
 		workersOf[w.Address] = emulator.NewMachine(emulator.MachineOptions{Name: w.Name, Capacity: w.Capacity, Seed: seed + uint64(i)})
 	}
-	var ps []*proprietor.Owner
+	var ps []*shardowner.Owner
 	for i, h := range c.EntryHosts {
 		if h.FailureDomain != firstDomain {
 			continue
 		}
-		p, stop, err := proprietor.New(proprietor.Settings{
+		p, stop, err := shardowner.New(shardowner.Settings{
 			Host: h.Name, FailureDomain: firstDomain, Incarnation: h.Name + "-1", Store: store, Workers: workersOf,
 			Random: rand.New(rand.NewPCG(seed, uint64(i))),
 		})
@@ -155,7 +155,7 @@
 }
 
 // submitJobs submits jobs at a rate per second and shard for startDuration.
-func (c *StoreCalls) submitJobs(ctx context.Context, ps []*proprietor.Owner, shards, rate int) error {
+func (c *StoreCalls) submitJobs(ctx context.Context, ps []*shardowner.Owner, shards, rate int) error {
 	const step = 100 * time.Millisecond
 	var g errgroup.Group
 	var mutex sync.Mutex
@@ -180,7 +180,7 @@
 }
 
 // jobNameInFirstDomain returns the name of a job whose home shard is in the first failure domain.
-func jobNameInFirstDomain(p *proprietor.Owner, n int) string {
+func jobNameInFirstDomain(p *shardowner.Owner, n int) string {
 	for k := 0; ; k++ {
 		if name := fmt.Sprintf("%s-%d", jobName(n), k); strings.HasPrefix(p.HomeShard(name), firstDomain+"/") {
 			return name
@@ -190,7 +190,7 @@
 
 // submitJob submits a job to each host until the owner of its home shard answers, and reports
 // whether it was accepted.
-func submitJob(ctx context.Context, ps []*proprietor.Owner, name string) bool {
+func submitJob(ctx context.Context, ps []*shardowner.Owner, name string) bool {
 	for _, p := range ps {
 		a, err := p.Submit(ctx, scheduler.JobSpec{Name: name, Class: className(1), Declared: jobSize, Duration: time.Second})
 		if err == nil {
