--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -8,7 +8,7 @@
 	"os/signal"
 	"syscall"
 
-	"peridotpitch/internal/surveyor"
+	"peridotpitch/internal/estimator"
 )
 
 func main() {
@@ -18,5 +18,5 @@
 func run() int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	return surveyor.Run(ctx, os.Args[1:], os.Stdout, os.Stderr)
+	return estimator.Run(ctx, os.Args[1:], os.Stdout, os.Stderr)
 }
--- a/internal/surveyor/surveyor_test.go
+++ b/internal/estimator/estimator_test.go
@@ -1,4 +1,4 @@
-package surveyor
+package estimator
 
 import (
 	"bytes"
