--- a/internal/commander/client.go
+++ b/internal/commander/client.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"peridotpitch/internal/poster"
+	"peridotpitch/internal/requester"
 )
 
 const (
@@ -44,14 +44,14 @@
 
 // Client implements Workers over HTTP. It keeps a connection pool for each worker.
 type Client struct {
-	options    poster.Options
+	options    requester.Options
 	mu         sync.Mutex // guards posters; not held during calls
 	requesters map[netip.AddrPort]*requesterEntry
 }
 
 // requesterEntry is the connection pool of one worker.
 type requesterEntry struct {
-	requester  *poster.Requester
+	requester  *requester.Requester
 	closeIdle  func()
 	lastUsedAt time.Time
 }
@@ -61,7 +61,7 @@
 // NewClient returns a client, and a function that closes its idle connections.
 func NewClient(o Options) (*Client, func()) {
 	c := &Client{
-		options: poster.Options{
+		options: requester.Options{
 			Timeout: o.Timeout, DialTimeout: o.DialTimeout,
 			MaxConnections: maxConnectionsPerWorker, MaxAnswerBytes: maxAnswerBytes,
 		},
@@ -107,7 +107,7 @@
 func (c *Client) call(ctx context.Context, address netip.AddrPort, path string, in, out any) error {
 	a, err := c.requesterFor(address).Post(ctx, path, in)
 	if err != nil {
-		var pe *poster.Error
+		var pe *requester.Error
 		sent := !errors.As(err, &pe) || pe.Sent
 		return &NoAnswerError{Address: address, Sent: sent, Reason: err.Error()}
 	}
@@ -124,7 +124,7 @@
 
 // requesterFor returns the poster of address. When it creates one, it removes those that have
 // been unused for maxPosterIdle, so that posters of replaced workers do not accumulate.
-func (c *Client) requesterFor(address netip.AddrPort) *poster.Requester {
+func (c *Client) requesterFor(address netip.AddrPort) *requester.Requester {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -138,7 +138,7 @@
 			delete(c.requesters, a)
 		}
 	}
-	p, stop := poster.New(address, c.options)
+	p, stop := requester.New(address, c.options)
 	c.requesters[address] = &requesterEntry{requester: p, closeIdle: stop, lastUsedAt: now}
 	return p
 }
--- a/internal/poster/poster.go
+++ b/internal/requester/requester.go
@@ -1,4 +1,4 @@
-package poster
+package requester
 
 import (
 	"bufio"
--- a/internal/poster/poster_test.go
+++ b/internal/requester/requester_test.go
@@ -1,4 +1,4 @@
-package poster_test
+package requester_test
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 
 	"github.com/matryer/is"
 
-	"peridotpitch/internal/poster"
+	"peridotpitch/internal/requester"
 )
 
 // startRawServer starts a server that answers the first bytes on each connection with text
@@ -51,10 +51,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			p, stop := poster.New(startRawServer(t, text), poster.Options{MaxAnswerBytes: 1000})
+			p, stop := requester.New(startRawServer(t, text), requester.Options{MaxAnswerBytes: 1000})
 			defer stop()
 			_, err := p.Post(t.Context(), "/x", struct{}{})
-			var e *poster.Error
+			var e *requester.Error
 			is.True(errors.As(err, &e))
 			is.True(e.Sent)
 		})
@@ -64,12 +64,12 @@
 // Guards against a call that is canceled before it is sent and is reported as sent.
 func TestCanceledCallIsNotSent(t *testing.T) {
 	is := is.New(t)
-	p, stop := poster.New(startRawServer(t, ""), poster.Options{})
+	p, stop := requester.New(startRawServer(t, ""), requester.Options{})
 	defer stop()
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err := p.Post(ctx, "/x", struct{}{})
-	var e *poster.Error
+	var e *requester.Error
 	is.True(errors.As(err, &e))
 	is.True(!e.Sent)
 	is.True(errors.Is(err, context.Canceled))
@@ -82,7 +82,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer func() { _ = l.Close() }()
-	p, stop := poster.New(l.Addr().(*net.TCPAddr).AddrPort(), poster.Options{Timeout: time.Second})
+	p, stop := requester.New(l.Addr().(*net.TCPAddr).AddrPort(), requester.Options{Timeout: time.Second})
 	defer stop()
 	accepted := make(chan int, 10)
 	go func() {
@@ -107,6 +107,6 @@
 }
 
 func ExampleError() {
-	fmt.Println(&poster.Error{Address: netip.MustParseAddrPort("127.0.0.1:7000"), Path: "/kv/get", Cause: context.DeadlineExceeded})
+	fmt.Println(&requester.Error{Address: netip.MustParseAddrPort("127.0.0.1:7000"), Path: "/kv/get", Cause: context.DeadlineExceeded})
 	// Output: post to 127.0.0.1:7000/kv/get (not sent): context deadline exceeded
 }
--- a/internal/storer/client.go
+++ b/internal/storer/client.go
@@ -9,7 +9,7 @@
 	"net/netip"
 	"time"
 
-	"peridotpitch/internal/poster"
+	"peridotpitch/internal/requester"
 )
 
 // defaultRetryAfter is the RetryAfter of a RateLimitedError if the answer with status 429
@@ -25,8 +25,8 @@
 
 // Client implements Store over HTTP.
 type Client struct {
-	callRequester  *poster.Requester
-	watchRequester *poster.Requester // of its own, so that waiting watches do not block other calls
+	callRequester  *requester.Requester
+	watchRequester *requester.Requester // of its own, so that waiting watches do not block other calls
 	timeout        time.Duration
 }
 
@@ -38,16 +38,16 @@
 // NewClient returns a client of the store at address, and a function that closes its
 // idle connections.
 func NewClient(address netip.AddrPort, o Options) (*Client, func()) {
-	callOptions := poster.Options{Timeout: o.Timeout, DialTimeout: o.DialTimeout, MaxConnections: o.MaxConnections}
+	callOptions := requester.Options{Timeout: o.Timeout, DialTimeout: o.DialTimeout, MaxConnections: o.MaxConnections}
 	if callOptions.Timeout <= 0 {
-		callOptions.Timeout = poster.DefaultTimeout
+		callOptions.Timeout = requester.DefaultTimeout
 	}
 	watchOptions := callOptions
 	watchOptions.Timeout += maxWatchWait
 	c := &Client{timeout: callOptions.Timeout}
 	var closeCalls, closeWatches func()
-	c.callRequester, closeCalls = poster.New(address, callOptions)
-	c.watchRequester, closeWatches = poster.New(address, watchOptions)
+	c.callRequester, closeCalls = requester.New(address, callOptions)
+	c.watchRequester, closeWatches = requester.New(address, watchOptions)
 	return c, func() {
 		closeCalls()
 		closeWatches()
@@ -137,10 +137,10 @@
 // call sends in to path and decodes the answer into out. writtenKey is the key that the call
 // writes, empty for a read. If the answer to a read is lost, the error is an
 // *UnavailableError: a read changes nothing, so its outcome does not matter.
-func (c *Client) call(ctx context.Context, p *poster.Requester, path string, in, out any, writtenKey string) error {
+func (c *Client) call(ctx context.Context, p *requester.Requester, path string, in, out any, writtenKey string) error {
 	a, err := p.Post(ctx, path, in)
 	if err != nil {
-		var pe *poster.Error
+		var pe *requester.Error
 		if writtenKey != "" && errors.As(err, &pe) && pe.Sent {
 			return &UnknownOutcomeError{Key: writtenKey, Reason: err.Error()}
 		}
@@ -168,7 +168,7 @@
 
 // ambiguousAnswer returns the error for an answer that does not say whether the call took
 // effect.
-func (c *Client) ambiguousAnswer(p *poster.Requester, writtenKey, reason string) error {
+func (c *Client) ambiguousAnswer(p *requester.Requester, writtenKey, reason string) error {
 	if writtenKey != "" {
 		return &UnknownOutcomeError{Key: writtenKey, Reason: reason}
 	}
