--- a/cmd/standin/roles.go
+++ b/cmd/standin/roles.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"peridotpitch/internal/emulator"
-	"peridotpitch/internal/generator"
+	"peridotpitch/internal/loadgenerator"
 	"peridotpitch/internal/relayer"
 )
 
@@ -230,8 +230,8 @@
 
 // loadFlags are the flags of the role load.
 type loadFlags struct {
-	callers generator.CallerOptions
-	jobs    generator.JobOptions
+	callers loadgenerator.CallerOptions
+	jobs    loadgenerator.JobOptions
 	workers addresses
 	memory  int64 // MB
 }
@@ -276,24 +276,24 @@
 }
 
 func (l *loadFlags) run(ctx context.Context, out io.Writer) error {
-	requests, jobs := &generator.Result{}, &generator.Result{}
+	requests, jobs := &loadgenerator.Result{}, &loadgenerator.Result{}
 	g, running := errgroup.WithContext(ctx)
 	if len(l.callers.Entries) > 0 {
 		g.Go(func() (err error) {
-			requests, err = generator.RunCallers(running, l.callers)
+			requests, err = loadgenerator.RunCallers(running, l.callers)
 			return err
 		})
 	}
 	if l.jobs.Count > 0 {
 		g.Go(func() (err error) {
-			jobs, err = generator.RunJobs(running, l.jobs)
+			jobs, err = loadgenerator.RunJobs(running, l.jobs)
 			return err
 		})
 	}
 	if err := g.Wait(); err != nil {
 		return err
 	}
-	for _, r := range []*generator.Result{requests, jobs} {
+	for _, r := range []*loadgenerator.Result{requests, jobs} {
 		if err := r.Print(out); err != nil {
 			return err
 		}
@@ -303,7 +303,7 @@
 
 // checkGuarantees compares the outcomes that callers got with the executions on the
 // emulated workers, and prints all violations of the guarantees.
-func (l *loadFlags) checkGuarantees(ctx context.Context, r *generator.Result, out io.Writer) error {
+func (l *loadFlags) checkGuarantees(ctx context.Context, r *loadgenerator.Result, out io.Writer) error {
 	if len(l.workers) == 0 {
 		return nil
 	}
--- a/internal/harness/cluster_test.go
+++ b/internal/harness/cluster_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 
 	"peridotpitch/internal/emulator"
-	"peridotpitch/internal/generator"
 	"peridotpitch/internal/harness"
+	"peridotpitch/internal/loadgenerator"
 	"peridotpitch/internal/relayer"
 )
 
@@ -17,39 +17,39 @@
 type workload struct {
 	t        *testing.T
 	cluster  *harness.Cluster
-	requests chan *generator.Result
-	jobs     chan *generator.Result
+	requests chan *loadgenerator.Result
+	jobs     chan *loadgenerator.Result
 }
 
 // startWorkload sends requests for about the given number of seconds, and submits jobs of
 // about two seconds during that time.
 func startWorkload(t *testing.T, c *harness.Cluster, seconds, jobs int) *workload {
 	t.Helper()
-	mix := func(text string) generator.Mix {
-		m, err := generator.ParseMix(text)
+	mix := func(text string) loadgenerator.Mix {
+		m, err := loadgenerator.ParseMix(text)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return m
 	}
-	w := &workload{t: t, cluster: c, requests: make(chan *generator.Result, 1), jobs: make(chan *generator.Result, 1)}
-	callers := generator.CallerOptions{
+	w := &workload{t: t, cluster: c, requests: make(chan *loadgenerator.Result, 1), jobs: make(chan *loadgenerator.Result, 1)}
+	callers := loadgenerator.CallerOptions{
 		Entries: c.Callers(), Rate: 200, Count: 200 * seconds, Services: mix("quotes"), Tenants: mix("mill,office"), Classes: mix("normal:3,urgent:1"),
 		Repeatable: 0.5, Timeout: 2 * time.Second, ReadinessInterval: 200 * time.Millisecond, Run: "run", Seed: 1,
 	}
-	submissions := generator.JobOptions{
+	submissions := loadgenerator.JobOptions{
 		Admins: c.Admins(), Rate: float64(jobs) / float64(seconds), Count: jobs, Classes: mix("plan"), Teams: mix("mill,office"),
 		Duration: 2 * time.Second, Wait: harness.WaitTimeout, RetryFor: harness.WaitTimeout, Run: "run", Seed: 1,
 	}
 	go func() {
-		r, err := generator.RunCallers(t.Context(), callers)
+		r, err := loadgenerator.RunCallers(t.Context(), callers)
 		if err != nil {
 			t.Error(err)
 		}
 		w.requests <- r
 	}()
 	go func() {
-		r, err := generator.RunJobs(t.Context(), submissions)
+		r, err := loadgenerator.RunJobs(t.Context(), submissions)
 		if err != nil {
 			t.Error(err)
 		}
@@ -70,7 +70,7 @@
 
 // waitForAllJobsFinished is like waitAndCheck and also checks that every submitted job has
 // finished.
-func (w *workload) waitForAllJobsFinished() (requests, jobs *generator.Result) {
+func (w *workload) waitForAllJobsFinished() (requests, jobs *loadgenerator.Result) {
 	w.t.Helper()
 	requests, jobs = w.waitAndCheck()
 	if j := jobs.Jobs(); j.Finished != j.Submitted {
@@ -81,7 +81,7 @@
 
 // waitAndCheck waits until the workload ends, checks the guarantees that hold in every test
 // and returns the results.
-func (w *workload) waitAndCheck() (requests, jobs *generator.Result) {
+func (w *workload) waitAndCheck() (requests, jobs *loadgenerator.Result) {
 	w.t.Helper()
 	requests, jobs = <-w.requests, <-w.jobs
 	complete := len(w.cluster.WorkerAddresses()) == len(w.cluster.Workers)
@@ -90,7 +90,7 @@
 		w.t.Error("violation:", v)
 	}
 	var s strings.Builder
-	for _, r := range []*generator.Result{requests, jobs} {
+	for _, r := range []*loadgenerator.Result{requests, jobs} {
 		if err := r.Print(&s); err != nil {
 			w.t.Error(err)
 		}
@@ -135,8 +135,8 @@
 	leaving.Terminate()
 	is.Equal(leaving.Wait(), 0)
 	requests, jobs := w.waitAndCheck()
-	is.Equal(requests.Count(generator.Failed), 0) // connection errors, which include closed connections without an answer
-	is.Equal(requests.Count(generator.Unknown), 0)
+	is.Equal(requests.Count(loadgenerator.Failed), 0) // connection errors, which include closed connections without an answer
+	is.Equal(requests.Count(loadgenerator.Unknown), 0)
 	is.Equal(jobs.Jobs().Finished, jobs.Jobs().Submitted)
 }
 
@@ -149,7 +149,7 @@
 	time.Sleep(10 * time.Second)
 	harness.SetFaults(t, c.Store, emulator.Faults{})
 	requests, jobs := w.waitAndCheck()
-	is.Equal(requests.Count(generator.Answered), len(requests.Records())) // callers are not affected
+	is.Equal(requests.Count(loadgenerator.Answered), len(requests.Records())) // callers are not affected
 	is.Equal(jobs.Jobs().Finished, jobs.Jobs().Submitted)
 }
 
@@ -174,7 +174,7 @@
 	killed := c.WaitForBatchTask()
 	killed.Kill()
 	requests, jobs := w.waitAndCheck()
-	is.True(requests.Count(generator.Answered) > 0)
+	is.True(requests.Count(loadgenerator.Answered) > 0)
 	is.Equal(jobs.Jobs().Finished, jobs.Jobs().Submitted)
 }
 
@@ -257,8 +257,8 @@
 	default:
 	}
 	requests, jobs := w.waitAndCheck()
-	is.Equal(requests.Count(generator.Failed), 0)
-	is.Equal(requests.Count(generator.Unknown), 0)
+	is.Equal(requests.Count(loadgenerator.Failed), 0)
+	is.Equal(requests.Count(loadgenerator.Unknown), 0)
 	is.Equal(jobs.Jobs().Finished, jobs.Jobs().Submitted)
 }
 
@@ -283,7 +283,7 @@
 		}
 	}
 	is.Equal(late, 0)
-	is.Equal(requests.Count(generator.Failed)+requests.Count(generator.Unknown), 0)
+	is.Equal(requests.Count(loadgenerator.Failed)+requests.Count(loadgenerator.Unknown), 0)
 	is.Equal(jobs.Jobs().Finished, jobs.Jobs().Submitted)
 	harness.WaitFor(t, "the drained worker to be empty", func() bool {
 		for _, r := range harness.Runs(t, drained.Address) {
--- a/internal/harness/stop_test.go
+++ b/internal/harness/stop_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 
 	"peridotpitch/internal/emulator"
-	"peridotpitch/internal/generator"
 	"peridotpitch/internal/harness"
+	"peridotpitch/internal/loadgenerator"
 )
 
 // Guards against a planned stop during a store outage that interrupts a request or waits
@@ -23,7 +23,7 @@
 	is.Equal(leaving.Wait(), 0)
 	harness.SetFaults(t, c.Store, emulator.Faults{})
 	requests, jobs := w.waitAndCheck()
-	is.Equal(requests.Count(generator.Failed), 0)
-	is.Equal(requests.Count(generator.Unknown), 0)
+	is.Equal(requests.Count(loadgenerator.Failed), 0)
+	is.Equal(requests.Count(loadgenerator.Unknown), 0)
 	is.Equal(jobs.Jobs().Finished, jobs.Jobs().Submitted)
 }
--- a/internal/generator/callers.go
+++ b/internal/loadgenerator/callers.go
@@ -1,4 +1,4 @@
-package generator
+package loadgenerator
 
 import (
 	"context"
