--- a/internal/administrator/client.go
+++ b/internal/administrator/client.go
@@ -41,7 +41,7 @@
 func (e *NoAnswerError) Unwrap() error { return e.Cause }
 
 // Client sends operators' requests to one entry host. Its methods are those of Backend;
-// their errors are of type *Error or *UnreachableError. It never retries a request. It is
+// their errors are of type *Error or *NoAnswerError. It never retries a request. It is
 // safe for concurrent use.
 type Client struct {
 	address netip.AddrPort
--- a/internal/administrator/server.go
+++ b/internal/administrator/server.go
@@ -25,7 +25,7 @@
 const RequestTimeout = 30 * time.Second
 
 // maxRequestBytes bounds the body of a request. The text of a configuration has at most
-// configurator.MaxTextSize bytes before it is encoded.
+// configurator.MaxTextBytes bytes before it is encoded.
 const maxRequestBytes = 4 << 20
 
 // ioTimeout bounds reading a request, and writing an answer.
--- a/internal/commander/client.go
+++ b/internal/commander/client.go
@@ -16,7 +16,7 @@
 const (
 	// maxAnswerBytes bounds an answer. A report with 1,000 tasks takes about 400 kB.
 	maxAnswerBytes = 8 << 20
-	// maxRequesterIdle is the time without calls after which the poster of an address is
+	// maxRequesterIdle is the time without calls after which the requester of an address is
 	// removed.
 	maxRequesterIdle = 10 * time.Minute
 	// maxConnectionsPerWorker is above 1 so that a slow call does not delay the next report.
@@ -36,7 +36,7 @@
 	return fmt.Sprintf("worker %s gave no usable answer (sent=%t): %s", e.Address, e.Sent, e.Reason)
 }
 
-// Options configures a Client. Zero fields take the defaults of package poster.
+// Options configures a Client. Zero fields take the defaults of package requester.
 type Options struct {
 	Timeout     time.Duration // of a call whose context has no earlier deadline
 	DialTimeout time.Duration
@@ -45,7 +45,7 @@
 // Client implements Workers over HTTP. It keeps a connection pool for each worker.
 type Client struct {
 	options    requester.Options
-	mu         sync.Mutex // guards posters; not held during calls
+	mu         sync.Mutex // guards requesters; not held during calls
 	requesters map[netip.AddrPort]*requesterEntry
 }
 
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// requesterFor returns the poster of address. When it creates one, it removes those that have
-// been unused for maxPosterIdle, so that posters of replaced workers do not accumulate.
+// requesterFor returns the requester of address. When it creates one, it removes those that have
+// been unused for maxRequesterIdle, so that requesters of replaced workers do not accumulate.
 func (c *Client) requesterFor(address netip.AddrPort) *requester.Requester {
 	now := time.Now()
 	c.mu.Lock()
--- a/internal/commander/message.go
+++ b/internal/commander/message.go
@@ -127,7 +127,7 @@
 	Results  []Result
 }
 
-// WorkerClient sends messages to workers. After an error of type *UnreachableError, the message
+// WorkerClient sends messages to workers. After an error of type *NoAnswerError, the message
 // may have taken effect if the error's Sent is true.
 type WorkerClient interface {
 	Fence(ctx context.Context, address netip.AddrPort, epoch uint64, owner string) (FenceAnswer, error)
--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -8,6 +8,6 @@
 // tests can run them in virtual time. Platform and Worker serve them over HTTP; Backend
 // is an HTTP server.
 //
-// Lock order: Machine, then Worker, then Backend, then Ledger. Store and faultInjector
+// Lock order: Machine, then Worker, then Backend, then RunLog. Store and faultInjector
 // have locks of their own and call nothing while they hold them.
 package emulator
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -32,7 +32,7 @@
 	StartTime         time.Duration // from the Start command until the task runs
 	CheckpointTime    time.Duration // duration of a checkpoint
 	ServiceLeaseGrace time.Duration // how long a service task keeps running after its lease has ended
-	Interference      *Interference // default: NewInterference(Seed, DefaultStrength)
+	Interference      *Interference // default: NewInterference(Seed, DefaultMaxCoefficient)
 	RunLog            *RunLog       // shared by the machines of a test; default: its own
 	Launch            Launcher      // starts instances; nil: service tasks have no address
 	Faults            Faults
@@ -472,26 +472,26 @@
 	return d, nil
 }
 
-// Fleet maps addresses to machines. It implements commander.Workers without a network.
+// Fleet maps addresses to machines. It implements commander.WorkerClient without a network.
 type Fleet map[netip.AddrPort]*Machine
 
 var _ commander.WorkerClient = Fleet{}
 
-// Fence implements commander.Workers.
+// Fence implements commander.WorkerClient.
 func (f Fleet) Fence(_ context.Context, address netip.AddrPort, epoch uint64, owner string) (commander.FenceAnswer, error) {
 	var a commander.FenceAnswer
 	err := f.call(address, func(m *Machine) { a = m.Fence(epoch, owner) })
 	return a, err
 }
 
-// Report implements commander.Workers.
+// Report implements commander.WorkerClient.
 func (f Fleet) Report(_ context.Context, address netip.AddrPort) (commander.Report, error) {
 	var r commander.Report
 	err := f.call(address, func(m *Machine) { r = m.Report() })
 	return r, err
 }
 
-// Apply implements commander.Workers.
+// Apply implements commander.WorkerClient.
 func (f Fleet) Apply(_ context.Context, address netip.AddrPort, epoch uint64, owner string, commands []commander.Command) (commander.ApplyAnswer, error) {
 	var a commander.ApplyAnswer
 	err := f.call(address, func(m *Machine) { a = m.Apply(epoch, owner, commands) })
--- a/internal/emulator/runlog.go
+++ b/internal/emulator/runlog.go
@@ -32,7 +32,7 @@
 	machines []*Machine
 }
 
-// NewRunLog returns an empty ledger.
+// NewRunLog returns an empty run log.
 func NewRunLog() *RunLog { return &RunLog{} }
 
 func (l *RunLog) register(m *Machine) {
@@ -61,7 +61,7 @@
 	machines := slices.Clone(l.machines)
 	l.mu.Unlock()
 	for _, m := range machines {
-		m.Advance() // takes the machine's lock, which comes before the ledger's
+		m.Advance() // takes the machine's lock, which comes before the run log's
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/estimator/store.go
+++ b/internal/estimator/store.go
@@ -101,7 +101,7 @@
 	startDuration = 6 * time.Second
 )
 
-// countStoreCalls runs the proprietors of one failure domain against an emulated store and
+// countStoreCalls runs the shard owners of one failure domain against an emulated store and
 // counts their calls, first without starts and then while jobs start at a rate. It takes 24 s,
 // in virtual time inside a synctest bubble.
 func countStoreCalls(ctx context.Context, hosts, shards, rate int, seed uint64) (StoreCalls, error) {
@@ -230,7 +230,7 @@
 	claimCallsByShards = "Store calls until 2 entry hosts have claimed all shards"
 )
 
-// measureStoreCalls runs the proprietors with several numbers of hosts and shards. The runs are
+// measureStoreCalls runs the shard owners with several numbers of hosts and shards. The runs are
 // concurrent, because they count calls and measure no times.
 func (s measurer) measureStoreCalls(ctx context.Context) ([]Series, error) {
 	type run struct{ hosts, shards, rate int }
--- a/internal/evaluator/shard.go
+++ b/internal/evaluator/shard.go
@@ -234,7 +234,7 @@
 		s.sim.endTask(w, t, endWorkerLost)
 	}
 	v := s.viewOf(w.name)
-	// The remaining residents were assigned but never started.
+	// The remaining assigned tasks were assigned but never started.
 	for _, r := range slices.Clone(v.AssignedTasks) {
 		t := s.tasks[r.Name]
 		v.AssignedTasks = slices.DeleteFunc(v.AssignedTasks, func(o placer.AssignedTask) bool { return o.Name == r.Name })
--- a/internal/lessor/doc.go
+++ b/internal/lessor/doc.go
@@ -1,5 +1,5 @@
 // Package lessor implements the lease of a shard: until when the owner may act on the shard
-// (Tenure) and from when another entry host may claim it (Successor). It does no I/O and
+// (Lease) and from when another entry host may claim it (Successor). It does no I/O and
 // reads no clock: all times are passed in and must come from one monotonic clock per process.
 //
 // The clocks need not be synchronized. The owner's lease runs from just before it sent the
--- a/internal/lessor/successor.go
+++ b/internal/lessor/successor.go
@@ -90,7 +90,7 @@
 	return c.read && !c.claimPending && !now.Before(s.processStart.Add(s.ttl))
 }
 
-// ClaimStarted records that a claim is about to be sent. No promise is given before Resolved, because
+// ClaimStarted records that a claim is about to be sent. No promise is given before ClaimResolved, because
 // the claim may take effect at any time.
 func (s *Successor) ClaimStarted(shard string) { s.shard(shard).claimPending = true }
 
--- a/internal/messenger/client.go
+++ b/internal/messenger/client.go
@@ -182,7 +182,7 @@
 	return c.call(ctx, methodDrain, &drainRequest{host, undo}, &emptyMessage{})
 }
 
-// Invoke calls a method of a peer that uses ServeMethods. It shares the connections of
+// Invoke calls a method of a peer that uses NewMethodServer. It shares the connections of
 // Forward: up to MaxConcurrentForwards calls run at the same time.
 func (c *Client) Invoke(ctx context.Context, timeout time.Duration, method string, in, out any) error {
 	return c.forwardPool.call(ctx, timeout, method, in, out)
--- a/internal/orchestrator/action.go
+++ b/internal/orchestrator/action.go
@@ -24,7 +24,7 @@
 }
 
 // ThrottleRun sets the speed limit of a run, in percent of its full speed. The answer comes back
-// as PaceAnswered.
+// as ThrottleAnswered.
 type ThrottleRun struct {
 	Worker  string
 	Task    string
@@ -39,7 +39,7 @@
 type StopPolling struct{ ID string }
 
 // RequestAdvice asks the outside policy which of the workers may run a step. The answer comes
-// back as Advised.
+// back as AdviceAnswered.
 type RequestAdvice struct {
 	Step    string
 	Workers []string
--- a/internal/orchestrator/event.go
+++ b/internal/orchestrator/event.go
@@ -68,7 +68,7 @@
 // EndCause is how a run ended.
 type EndCause string
 
-// Values of EndHow.
+// Values of EndCause.
 const (
 	EndDone           EndCause = "done"
 	EndFailed         EndCause = "failed"
@@ -141,7 +141,7 @@
 	Fenced   bool
 }
 
-// ThrottleAnswered reports the outcome of a PaceRun.
+// ThrottleAnswered reports the outcome of a ThrottleRun.
 type ThrottleAnswered struct {
 	Worker   string
 	Task     string
@@ -156,7 +156,7 @@
 // Written reports that a batch from NextBatch is in the store.
 type Written struct{ Batch Batch }
 
-// AdviceAnswered is the outside policy's answer to an AskAdvice.
+// AdviceAnswered is the outside policy's answer to a RequestAdvice.
 type AdviceAnswered struct {
 	Step    string // as in the request
 	Asked   []string
--- a/internal/orchestrator/record.go
+++ b/internal/orchestrator/record.go
@@ -192,10 +192,10 @@
 	Mean     float64 // mean utilization that the tasks' own callers cause
 }
 
-// EncodeWorkloadStatistics returns an experience's value in the store.
+// EncodeWorkloadStatistics returns the workload statistics' value in the store.
 func EncodeWorkloadStatistics(e WorkloadStatistics) ([]byte, error) { return msgpack.Marshal(&e) }
 
-// DecodeWorkloadStatistics reads a value that EncodeExperience wrote.
+// DecodeWorkloadStatistics reads a value that EncodeWorkloadStatistics wrote.
 func DecodeWorkloadStatistics(b []byte) (WorkloadStatistics, error) {
 	var e WorkloadStatistics
 	if err := msgpack.Unmarshal(b, &e); err != nil {
--- a/internal/orchestrator/run.go
+++ b/internal/orchestrator/run.go
@@ -156,7 +156,7 @@
 	}
 	switch e.Outcome {
 	case StartAccepted, StartSuperseded:
-		// After StartOld the run has ended there, and the next poll lists its end.
+		// After StartSuperseded the run has ended there, and the next poll lists its end.
 		o.accepted(r)
 	case StartFenced:
 		o.stepDown("worker " + w.ID + " has accepted a later leader")
--- a/internal/placer/doc.go
+++ b/internal/placer/doc.go
@@ -9,6 +9,6 @@
 //
 // The caller passes its own view of its workers. Every task that is running, starting,
 // stopping, not yet acknowledged or possibly left over from an earlier owner must be among
-// the worker's Residents. After an Assign the caller adds the task to the worker's Residents
+// the worker's AssignedTasks. After an Assign the caller adds the task to the worker's AssignedTasks
 // before the next call.
 package placer
--- a/internal/placer/estimator.go
+++ b/internal/placer/estimator.go
@@ -163,8 +163,8 @@
 	delete(e.lastReports, oldest)
 }
 
-// Observe updates the interference model and the size correction from a report. w.Residents
-// must be the tasks and figures that were measured at w.ReportedAt. A report that was used
+// Observe updates the interference model and the size correction from a report. w.AssignedTasks
+// must be the tasks and figures that were measured at w.MeasuredAt. A report that was used
 // before changes nothing.
 func (p *Placer) Observe(w Worker, now time.Time) {
 	e := p.estimator
--- a/internal/placer/mitigation.go
+++ b/internal/placer/mitigation.go
@@ -210,7 +210,7 @@
 	return out
 }
 
-// lastAction returns the time of the last action on a worker. It includes the residents' own
+// lastAction returns the time of the last action on a worker. It includes the assigned tasks' own
 // times, which are still known after a change of owner.
 func (p *Placer) lastAction(w *Worker) time.Time {
 	last := p.mitigation.lastActions[w.Name]
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -142,7 +142,7 @@
 }
 
 // checkFeasible returns nil if the task fits an empty worker of the shard. Otherwise it returns
-// Wait if another shard could run the task, else Never.
+// Wait if another shard could run the task, else Unschedulable.
 func (p *Placer) checkFeasible(t Task, ws []Worker) Decision {
 	d := t.Declared
 	if !(d.Cores > 0) || d.Memory < 0 || d.Accelerators < 0 {
--- a/internal/placer/preempt.go
+++ b/internal/placer/preempt.go
@@ -168,7 +168,7 @@
 	return plans[:min(len(plans), MaxCandidates)]
 }
 
-// planVictims marks the residents of a worker in p.preemptibles whose end frees enough capacity
+// planVictims marks the assigned tasks of a worker in p.preemptibles whose end frees enough capacity
 // for the task, and returns their cost. It takes them in order of cost per share of the missing
 // capacity and then leaves out those that turn out not to be needed. Tasks that are already
 // stopping count as gone at no cost. It returns false if there are too few victims, if their
@@ -247,7 +247,7 @@
 	return free, true
 }
 
-// chosenVictims returns the indices of the residents that planVictims marked.
+// chosenVictims returns the indices of the assigned tasks that planVictims marked.
 func (p *Placer) chosenVictims() []int {
 	var out []int
 	for i := range p.preemptibles {
--- a/internal/placer/search.go
+++ b/internal/placer/search.go
@@ -62,8 +62,8 @@
 	count        int
 	ties         int
 	rejected     [rejectReasonCount]int
-	effectOn     [maxClasses]float64 // by class: coefficient of the effect of the task on residents
-	effectFrom   [maxClasses]float64 // by class: coefficient of the effect of residents on the task
+	effectOn     [maxClasses]float64 // by class: coefficient of the effect of the task on assigned tasks
+	effectFrom   [maxClasses]float64 // by class: coefficient of the effect of assigned tasks on the task
 }
 
 // ranked is an eligible worker with its rank: the lowest tier first, then the lowest score.
@@ -196,7 +196,7 @@
 	return s.t.Declared.Max(minResources(s.expectedSize, available))
 }
 
-// verifyFit sums the residents of worker i anew and reports whether the task fits.
+// verifyFit sums the assigned tasks of worker i anew and reports whether the task fits.
 func (s *search) verifyFit(i int) bool {
 	w := &s.ws[i]
 	total := s.t.Declared
--- a/internal/placer/summary.go
+++ b/internal/placer/summary.go
@@ -22,8 +22,8 @@
 	members int32
 }
 
-// workerSummary holds sums over a worker's residents. It is reused while the worker's Version
-// stays the same, because summing 17,000 residents in each Place took most of its time.
+// workerSummary holds sums over a worker's assigned tasks. It is reused while the worker's Version
+// stays the same, because summing 17,000 assigned tasks in each Place took most of its time.
 type workerSummary struct {
 	name                string
 	version             uint64
--- a/internal/placer/types.go
+++ b/internal/placer/types.go
@@ -27,8 +27,8 @@
 // AssignedTask is a task that holds capacity of a worker.
 type AssignedTask struct {
 	Task
-	Committed     configurator.Resources // result of Commit; a dimension below Declared counts as Declared
-	Measured      configurator.Resources // usage at Worker.ReportedAt, zero if unknown
+	Committed     configurator.Resources // result of CommittedResources; a dimension below Declared counts as Declared
+	Measured      configurator.Resources // usage at Worker.MeasuredAt, zero if unknown
 	Slowdown      float64                // run time per unit of work relative to the uncontended one, 0 if unknown
 	Latency       time.Duration          // p99 of a service instance, 0 if unknown
 	LatencyTarget time.Duration          // p99 above which the instance counts as degraded, 0 if none
@@ -50,8 +50,8 @@
 	Quarantined   bool // by the caller; the placer quarantines workers itself as well
 	EpochAccepted bool // the worker has accepted the owner's epoch; otherwise it gets no work
 
-	// Version changes whenever any other field but ReportedAt changes. Place reuses sums
-	// over Residents while it stays the same; 0 recomputes them in each call. The chosen
+	// Version changes whenever any other field but MeasuredAt changes. Place reuses sums
+	// over AssignedTasks while it stays the same; 0 recomputes them in each call. The chosen
 	// worker's capacity is always checked without these sums, so a stale Version can lead to
 	// a worse choice but never exceeds capacity.
 	Version uint64
@@ -110,7 +110,7 @@
 	Rejected     string                 // reason why it was not eligible, empty if it was
 }
 
-// Decision is one of Assign, Wait, Never and Preempt.
+// Decision is one of Assign, Wait, Unschedulable and Preempt.
 type Decision interface{ decision() }
 
 // Assign places the task on a worker.
@@ -185,7 +185,7 @@
 func (Checkpoint) mitigation() {}
 func (Stop) mitigation()       {}
 
-// Margins of Commit: shares by which usage may grow until the next report arrives. Too few cores
+// Margins of CommittedResources: shares by which usage may grow until the next report arrives. Too few cores
 // slow tasks down, but too little memory kills them, so memory has the larger margin.
 const (
 	coreMarginShare   = 0.05
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -20,7 +20,7 @@
 // text. The texts of all records together can exceed 100 MB.
 const HistoryRecordsWithText = 20
 
-// pruneGenerations is the number of generations beyond HistoryLimit whose records each
+// pruneGenerations is the number of generations beyond MaxHistoryRecords whose records each
 // application tries to delete, so that a later one deletes what an earlier one could not.
 const pruneGenerations = 10
 
@@ -105,7 +105,7 @@
 
 // Apply makes s the configuration in effect. Its errors are *configurator.RefusedError,
 // *LostRaceError and *NotAppliedError, which leave the configuration unchanged, and
-// *UnknownError.
+// *UnknownOutcomeError.
 func (p *Publisher) Apply(ctx context.Context, s Submission) (ApplyResult, error) {
 	c, err := configurator.VerifyText([]byte(s.Text), s.Signature, s.Key, p.keys)
 	if err != nil {
@@ -300,7 +300,7 @@
 	return err
 }
 
-// prune deletes history records beyond HistoryLimit. It stops at the first failed read.
+// prune deletes history records beyond MaxHistoryRecords. It stops at the first failed read.
 func (p *Publisher) prune(ctx context.Context, generation uint64) {
 	for i := range uint64(pruneGenerations) {
 		if generation <= MaxHistoryRecords+i {
--- a/internal/publisher/publisher_test.go
+++ b/internal/publisher/publisher_test.go
@@ -138,7 +138,7 @@
 	})
 }
 
-// Guards against a history that grows beyond HistoryLimit, has gaps, or is not ordered
+// Guards against a history that grows beyond MaxHistoryRecords, has gaps, or is not ordered
 // from the newest record to the oldest.
 func TestHistory(t *testing.T) {
 	simulate(t, func(ctx context.Context, is *is.I) {
--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -115,7 +115,7 @@
 }
 
 // confirmLive withdraws the platform's notice once the list has reported the host as live for
-// ListSettleTime.
+// LiveConfirmationTime.
 func (r *Registrar) confirmLive(host string, now time.Time) {
 	n, ok := r.notices[noticeKey{host, messenger.SourcePlatform}]
 	if !ok || !n.Leaving {
--- a/internal/registrar/registrar_test.go
+++ b/internal/registrar/registrar_test.go
@@ -33,7 +33,7 @@
 	}
 	r.RecordHostList(hostList("w1", storer.HostLive), now)
 	r.RecordHostList(hostList("w1", storer.HostLive), now.Add(LiveConfirmationTime))
-	is.True(!r.Leaving("w1")) // live without interruption for ListSettleTime
+	is.True(!r.Leaving("w1")) // live without interruption for LiveConfirmationTime
 }
 
 // Guards against a leaving host that counts as live again because a peer with an older host
--- a/internal/requester/doc.go
+++ b/internal/requester/doc.go
@@ -2,5 +2,5 @@
 // the workers use it. It never retries a request, reports whether any byte of a failed
 // request was sent, and closes the connection of a canceled call.
 //
-// A Poster has no locks of its own; fasthttp's HostClient synchronizes its connection pool.
+// A Requester has no locks of its own; fasthttp's HostClient synchronizes its connection pool.
 package requester
--- a/internal/requester/requester.go
+++ b/internal/requester/requester.go
@@ -23,7 +23,7 @@
 	defaultMaxIdleDuration = 5 * time.Second // shorter than the idle timeout of common servers
 )
 
-// Options configures a Poster. Zero fields take the defaults.
+// Options configures a Requester. Zero fields take the defaults.
 type Options struct {
 	Timeout        time.Duration // of a call whose context has no earlier deadline
 	DialTimeout    time.Duration
@@ -80,7 +80,7 @@
 	client  *fasthttp.HostClient
 }
 
-// New returns a Poster and a function that closes its idle connections.
+// New returns a Requester and a function that closes its idle connections.
 func New(address netip.AddrPort, o Options) (*Requester, func()) {
 	o = o.withDefaults()
 	p := &Requester{address: address, options: o}
--- a/internal/scheduler/action.go
+++ b/internal/scheduler/action.go
@@ -48,7 +48,7 @@
 	Address netip.AddrPort
 }
 
-// AnswerSubmission answers a JobSubmitted or CancellationAsked. If Accepted is false and
+// AnswerSubmission answers a JobSubmitted or CancellationRequested. If Accepted is false and
 // Unknown is set, the stored journal may hold the change; the caller can safely repeat the
 // request with the same name.
 type AnswerSubmission struct {
--- a/internal/scheduler/event.go
+++ b/internal/scheduler/event.go
@@ -61,14 +61,14 @@
 	SentAt, ReceivedAt time.Time
 }
 
-// ReportArrived carries a worker's answer to AskReport.
+// ReportArrived carries a worker's answer to RequestReport.
 type ReportArrived struct {
 	Worker             string
 	Report             commander.Report
 	SentAt, ReceivedAt time.Time
 }
 
-// PollFailed reports that SendFence or AskReport got no answer.
+// PollFailed reports that SendFence or RequestReport got no answer.
 type PollFailed struct {
 	Worker string
 	Reason string
@@ -109,7 +109,7 @@
 // only rejects submissions and cancellations.
 type JournalLost struct{ Owner string }
 
-// JobHistoryWritten is the outcome of a WriteRecords.
+// JobHistoryWritten is the outcome of a WriteJobHistory.
 type JobHistoryWritten struct{ Done bool }
 
 // WorkerLeaving reports whether a worker is leaving.
--- a/internal/shardowner/doc.go
+++ b/internal/shardowner/doc.go
@@ -3,6 +3,6 @@
 // has certainly ended, and carries out the actions of scheduler.Shard against the store
 // and the workers.
 //
-// Lock order: Proprietor.mutex, then ownedShard.mutex, then Proprietor.closeMutex. None
+// Lock order: Owner.mutex, then ownedShard.mutex, then Owner.closeMutex. None
 // of them is held during I/O.
 package shardowner
--- a/internal/shardowner/fake_test.go
+++ b/internal/shardowner/fake_test.go
@@ -137,7 +137,7 @@
 	})
 }
 
-// startHost starts an entry host with a new Proprietor.
+// startHost starts an entry host with a new Owner.
 func (cl *cluster) startHost(name string) *fakeHost {
 	domain := ""
 	for _, h := range cl.config.EntryHosts {
--- a/internal/shardowner/shardowner.go
+++ b/internal/shardowner/shardowner.go
@@ -24,7 +24,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Settings configures a Proprietor and cannot change after New.
+// Settings configures an Owner and cannot change after New.
 type Settings struct {
 	Host          string // name of this entry host
 	FailureDomain string
@@ -64,7 +64,7 @@
 	StoreAvailable       bool // whether the last journal write succeeded
 }
 
-// API lists the methods of a Proprietor that an entry host calls.
+// API lists the methods of an Owner that an entry host calls.
 type API interface {
 	// Configure puts a configuration into effect.
 	Configure(c *configurator.Configuration)
@@ -155,7 +155,7 @@
 	at   time.Time
 }
 
-// New starts a Proprietor, which claims no shard before Configure. The returned function
+// New starts an Owner, which claims no shard before Configure. The returned function
 // stops it and waits for its goroutines.
 func New(s Settings) (*Owner, func(), error) {
 	if s.Host == "" || s.FailureDomain == "" || s.Incarnation == "" || s.Store == nil || s.Workers == nil || s.Random == nil {
@@ -191,7 +191,7 @@
 	}, nil
 }
 
-// background runs f in a goroutine, with a context that ends when the Proprietor stops.
+// background runs f in a goroutine, with a context that ends when the Owner stops.
 func (p *Owner) background(f func(ctx context.Context)) {
 	p.closeMutex.Lock()
 	defer p.closeMutex.Unlock()
@@ -204,7 +204,7 @@
 	})
 }
 
-// runWorkerCalls executes queued calls to workers until the Proprietor stops.
+// runWorkerCalls executes queued calls to workers until the Owner stops.
 func (p *Owner) runWorkerCalls(ctx context.Context) {
 	for {
 		select {
--- a/internal/storer/client.go
+++ b/internal/storer/client.go
@@ -16,7 +16,7 @@
 // has none.
 const defaultRetryAfter = 100 * time.Millisecond
 
-// Options configures a Client. Zero fields take the defaults of package poster.
+// Options configures a Client. Zero fields take the defaults of package requester.
 type Options struct {
 	Timeout        time.Duration // of a call whose context has no earlier deadline
 	DialTimeout    time.Duration
--- a/internal/storer/store.go
+++ b/internal/storer/store.go
@@ -101,7 +101,7 @@
 	return fmt.Sprintf("store refused the call over its rate, retry after %s", e.RetryAfter)
 }
 
-// TooLargeError reports that a value is larger than MaxValueSize.
+// TooLargeError reports that a value is larger than MaxValueBytes.
 type TooLargeError struct {
 	Key  string
 	Size int // bytes
