--- a/internal/shardowner/claim.go
+++ b/internal/shardowner/claim.go
@@ -23,10 +23,11 @@
 	watchInterval = 500 * time.Millisecond
 	// watchMaxWait is how long the store may delay its answer to a watch without events.
 	watchMaxWait = 10 * time.Second
-	// orphanTimeout is the time without an owner's heartbeat after which every entry host of
-	// the failure domain renews the leases of the shard's service instances.
+	// orphanTimeout is the time without a heartbeat from a shard's owner after which every
+	// entry host of the failure domain renews the leases of the shard's service instances.
 	orphanTimeout = 60 * time.Second
-	// orphanRenewalInterval is the time between checks for such instances.
+	// orphanRenewalInterval is the time between checks for service instances without a
+	// responsive owner.
 	orphanRenewalInterval = time.Minute
 	// orphanRenewalThreshold is the remaining lease time below which a lease is renewed.
 	orphanRenewalThreshold = 6 * time.Minute
@@ -56,7 +57,8 @@
 }
 
 // pollPredecessors reads the journals of the failure domains whose jobs this one may have to
-// import. Six reads per TTL of the lease for running tasks notice a renewal in time.
+// import. It reads them six times within one TTL of the lease for running tasks, so that a
+// renewal is noticed before the lease counts as ended.
 func (p *Owner) pollPredecessors(ctx context.Context) {
 	for {
 		p.mutex.Lock()
@@ -172,7 +174,7 @@
 	var names []string
 	for _, name := range shardNames(p.config, p.settings.FailureDomain) {
 		k := p.journals[name]
-		if k == nil || k.claimInProgress || k.undecodable || p.shards[name] != nil || k.journal.MovedTo != "" {
+		if k == nil || k.claimOrImportInProgress || k.undecodable || p.shards[name] != nil || k.journal.MovedTo != "" {
 			continue
 		}
 		if !p.mayClaimAfter(k.journal.Owner, k.journal.Successors) {
@@ -181,17 +183,18 @@
 		at := now.Add(-p.claimDelay(name, k.journal.Owner))
 		released := k.revision != 0 && k.journal.Owner == "" && p.placingSuccessor.MayClaimReleased(name, at)
 		if released || p.placingSuccessor.MayClaim(name, at) {
-			k.claimInProgress = true
+			k.claimOrImportInProgress = true
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// mayClaimAfter reports whether this host may succeed the journal's owner. The owner's lease
-// is known to have ended only if the owner needs the promises of this host, that is, if the
-// journal lists it as a successor. A host that is not listed may claim the shard if neither
-// the owner nor any listed successor is configured any more, because nobody else could.
+// mayClaimAfter reports whether this host may succeed the journal's owner. This host can tell
+// that the owner's lease has ended only if the owner needs this host's promises, that is, if
+// the journal lists this host as a successor. A host that is not listed may claim the shard
+// if neither the owner nor any listed successor is configured any more, because no other host
+// could claim it.
 func (p *Owner) mayClaimAfter(owner string, successors []string) bool {
 	if owner == "" || owner == p.settings.Host || len(successors) == 0 || slices.Contains(successors, p.settings.Host) {
 		return true
@@ -217,9 +220,9 @@
 
 // claim claims a shard by one compare-and-swap of its journal.
 func (p *Owner) claim(ctx context.Context, shard string) {
-	defer p.clearClaimInProgress(shard)
+	defer p.clearClaimOrImportInProgress(shard)
 	call, cancel := context.WithTimeout(ctx, callTimeout)
-	records, err := p.settings.Store.Get(call, jobHistoryKey(shard))
+	jobHistory, err := p.settings.Store.Get(call, jobHistoryKey(shard))
 	cancel()
 	if err != nil {
 		sleep(ctx, p.randomDuration(200*time.Millisecond, 2*time.Second))
@@ -230,7 +233,7 @@
 	before, expect := k.journal, k.revision
 	if !p.placingSuccessor.MayClaim(shard, time.Now()) && before.Owner != "" {
 		p.mutex.Unlock()
-		return // this host has promised or seen a renewal since selectClaims
+		return // since selectClaims, this host has given a promise or read a renewal
 	}
 	j := before
 	j.Shard, j.Owner, j.Writer = shard, p.settings.Host, p.settings.Incarnation
@@ -243,7 +246,7 @@
 	revision, won, sentAt := p.compareAndSwapJournal(ctx, &j, expect)
 	p.claimResolved(&j, revision, won)
 	if won {
-		p.startOwnership(j, before, records.Value, revision, sentAt)
+		p.startOwnership(j, before, jobHistory.Value, revision, sentAt)
 	}
 }
 
@@ -268,15 +271,15 @@
 	p.runningSuccessor.RecordVersion(j.Shard, v, now)
 }
 
-// clearClaimInProgress allows the next claim or import of a shard.
-func (p *Owner) clearClaimInProgress(shard string) {
+// clearClaimOrImportInProgress allows the next claim or import of a shard.
+func (p *Owner) clearClaimOrImportInProgress(shard string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.journals[shard].claimInProgress = false
+	p.journals[shard].claimOrImportInProgress = false
 }
 
 // compareAndSwapJournal writes the journal of a shard that this host does not own and reports
-// whether the write took effect. If the answer is lost, it reads the journal back.
+// whether the write took effect. If the answer is lost, it reads the journal back to find out.
 func (p *Owner) compareAndSwapJournal(ctx context.Context, j *scheduler.Journal, expect uint64) (revision uint64, won bool, sentAt time.Time) {
 	value, err := j.Encode()
 	if err != nil {
@@ -374,7 +377,7 @@
 	for _, d := range predecessors(p.config, p.settings.FailureDomain) {
 		for _, name := range shardNames(p.config, d) {
 			k := p.journals[name]
-			if k == nil || k.claimInProgress || k.undecodable || len(k.journal.Jobs) == 0 {
+			if k == nil || k.claimOrImportInProgress || k.undecodable || len(k.journal.Jobs) == 0 {
 				continue
 			}
 			target := p.shards[cmp.Or(k.journal.MovedTo, rendezvous(name, own))]
@@ -384,7 +387,7 @@
 			if k.journal.MovedTo == "" && !(p.runningSuccessor.MayClaim(name, now) && p.mayImport(k.journal.RunningSuccessors)) {
 				continue
 			}
-			k.claimInProgress = true
+			k.claimOrImportInProgress = true
 			if k.journal.MovedTo == "" {
 				p.runningSuccessor.ClaimStarted(name)
 			}
@@ -397,17 +400,18 @@
 	}
 }
 
-// mayImport reports whether this host may import the jobs of a shard, by the same reasoning as
-// mayClaimAfter: successors are those that the journal lists for the lease for running tasks.
+// mayImport reports whether this host may import the jobs of a shard. successors are the hosts
+// that the journal lists for the lease for running tasks. As in mayClaimAfter, a host that is
+// not listed may import the jobs only if no listed host is configured any more.
 func (p *Owner) mayImport(successors []string) bool {
 	return p.mayClaimAfter("", nil) && (len(successors) == 0 || slices.Contains(successors, p.settings.Host) ||
 		!slices.ContainsFunc(p.config.EntryHosts, func(h configurator.EntryHost) bool { return slices.Contains(successors, h.Name) }))
 }
 
-// importShard marks a journal as moved, which ends its owner's rights, and adds its jobs to
-// the target shard.
+// importShard marks a journal as moved, which ends the ownership of its shard, and adds its
+// jobs to the target shard.
 func (p *Owner) importShard(ctx context.Context, j scheduler.Journal, expect uint64, target *ownedShard) {
-	defer p.clearClaimInProgress(j.Shard)
+	defer p.clearClaimOrImportInProgress(j.Shard)
 	if j.MovedTo == "" {
 		j.MovedTo, j.Owner, j.Writer = target.name, "", p.settings.Incarnation
 		j.Epoch++
@@ -492,8 +496,8 @@
 	if len(cs) == 0 {
 		return
 	}
-	// The commands carry the epoch that the worker has accepted already, so that they fence
-	// off no owner.
+	// The commands carry the epoch that the worker has already accepted, so that the worker
+	// still accepts the commands of the current owner.
 	if _, err := p.settings.Workers.Apply(ctx, w.Address, r.Epoch, p.settings.Host, cs); err != nil {
 		p.settings.Logger.Debug("instances not renewed", "Worker", w.Name, "Error", err)
 	}
--- a/internal/shardowner/fake_test.go
+++ b/internal/shardowner/fake_test.go
@@ -40,8 +40,8 @@
 	cancelledJobs        map[string]bool // jobs whose cancellation an entry host has acknowledged
 	finishesByTask       map[string]int
 	startsByTask         map[string]int
-	unlistedStarts       int             // starts of attempts that were in no stored journal
-	allowLostAttempts    bool            // a lost attempt that is in no journal may have its number used again
+	startsNotInJournal   int             // starts of attempts that were in no stored journal
+	allowReusedAttempts  bool            // the number of a lost attempt that is in no journal may be used again
 	endedJobs            map[string]bool // jobs that have ended according to a stored journal
 	violations           []string
 }
@@ -91,7 +91,7 @@
 }
 
 // waitWhilePaused waits until the host is not paused. It simulates a process that is paused
-// between its last lease check and the sending of a message, and sends it when it resumes.
+// after its last lease check and sends the message when it resumes.
 func (cl *cluster) waitWhilePaused(h *fakeHost) {
 	for {
 		cl.mutex.Lock()
@@ -104,10 +104,10 @@
 	}
 }
 
-// setIsolated cuts or restores the messages between each of the named hosts and all others,
-// including the store, except for the entry hosts and workers of failure domain inside ("":
-// none).
-func (cl *cluster) setIsolated(names []string, inside string, cut bool) {
+// setIsolated cuts or restores the messages between each of the named hosts or workers and
+// all others, including the store. Messages to and from the entry hosts and workers of failure
+// domain exceptDomain stay unchanged, unless it is "".
+func (cl *cluster) setIsolated(names []string, exceptDomain string, cut bool) {
 	others := []string{"store"}
 	for _, h := range cl.config.EntryHosts {
 		others = append(others, h.Name)
@@ -117,7 +117,7 @@
 	}
 	for _, n := range names {
 		for _, o := range others {
-			if inside == "" || !strings.HasPrefix(o, inside) && !strings.HasPrefix(o, "w"+inside) {
+			if exceptDomain == "" || !strings.HasPrefix(o, exceptDomain) && !strings.HasPrefix(o, "w"+exceptDomain) {
 				cl.setPartitioned(n, o, cut)
 			}
 		}
@@ -146,6 +146,8 @@
 		}
 	}
 	h := &fakeHost{name: name, domain: domain, startedAt: time.Now()}
+	// The names of all hosts have the same length, so hosts that start at the same time get
+	// the same random numbers.
 	seed := uint64(len(name)) + uint64(time.Since(cl.startedAt))
 	p, stop, err := shardowner.New(shardowner.Settings{
 		Host: name, FailureDomain: domain, Incarnation: fmt.Sprintf("%s-%d", name, time.Since(cl.startedAt)),
@@ -329,7 +331,8 @@
 }
 
 // checkJournal records the claim and the ended jobs in a written journal. These jobs must not
-// start again. A job that finished unnoticed by its owner may, because it counts as lost.
+// start again. A job that has finished without its owner noticing may start again, because its
+// attempt counts as lost.
 func (cl *cluster) checkJournal(key string, value []byte, sent time.Duration) {
 	shard, ok := strings.CutPrefix(key, "shards/")
 	if !ok {
@@ -463,7 +466,7 @@
 	}
 	cl.startsByTask[c.Task]++
 	if c.Kind == commander.KindBatch && !cl.journalLists(f.name, c) {
-		cl.unlistedStarts++
+		cl.startsNotInJournal++
 	}
 	used := c.Declared
 	for _, o := range cl.workers {
@@ -475,7 +478,7 @@
 			if t.State.Active() && o == f {
 				used = used.Add(t.Declared)
 			}
-			if !cl.allowLostAttempts && t.Task == c.Task && t.Attempt >= c.Attempt && c.Kind == commander.KindBatch {
+			if !cl.allowReusedAttempts && t.Task == c.Task && t.Attempt >= c.Attempt && c.Kind == commander.KindBatch {
 				cl.addViolation("job %s starts again with attempt %d after attempt %d", c.Task, c.Attempt, t.Attempt)
 			}
 		}
--- a/internal/shardowner/fault_test.go
+++ b/internal/shardowner/fault_test.go
@@ -80,8 +80,8 @@
 	return fault{name: fmt.Sprint("slow ", of), begin: func(cl *cluster) { cl.locked(func() { cl.delays[of] = d }) }, end: func(cl *cluster) { cl.locked(func() { cl.delays[of] = 0 }) }}
 }
 
-func isolate(name string, names []string, inside string) fault {
-	return fault{name: "isolate " + name, begin: func(cl *cluster) { cl.setIsolated(names, inside, true) }, end: func(cl *cluster) { cl.setIsolated(names, inside, false) }}
+func isolate(name string, names []string, exceptDomain string) fault {
+	return fault{name: "isolate " + name, begin: func(cl *cluster) { cl.setIsolated(names, exceptDomain, true) }, end: func(cl *cluster) { cl.setIsolated(names, exceptDomain, false) }}
 }
 
 func faults() []fault {
--- a/internal/shardowner/mechanism_test.go
+++ b/internal/shardowner/mechanism_test.go
@@ -137,9 +137,9 @@
 	})
 }
 
-// Guards against an owner that treats a write with a lost answer as failed and then never has
-// the journal's current revision again. It must read the journal back and compare writer and
-// sequence number.
+// Guards against an owner that treats a write with a lost answer as failed and then sends an
+// outdated revision with every further write. The owner must read the journal back and compare
+// writer and sequence number.
 func TestLostAnswersAreReadBack(t *testing.T) {
 	runOnCluster(t, 2, 5*time.Second, func(s *testCluster) {
 		for range 10 {
@@ -170,7 +170,7 @@
 // imported: with the promises of the other hosts, that owner would start the jobs again.
 func TestImportedShardGetsNoPromise(t *testing.T) {
 	runOnCluster(t, 40, 40*time.Second, func(s *testCluster) {
-		s.locked(func() { s.allowLostAttempts = true })
+		s.locked(func() { s.allowReusedAttempts = true })
 		s.setIsolated([]string{"a0", "a1", "wa0", "wa1"}, "a", true)
 		for _, a := range []string{"a0", "a1"} { // so that both owners have the same jobs to start
 			s.setHostPartitioned(a, true, "wa0", "wa1")
--- a/internal/shardowner/ownership.go
+++ b/internal/shardowner/ownership.go
@@ -29,32 +29,32 @@
 	shard                    *scheduler.Shard
 	placingLease             *lessor.Lease
 	runningLease             *lessor.Lease
-	lastLeaseEvent           scheduler.OwnershipLeaseChanged
-	earlierOwnersEndAt       time.Time
-	earlierRunningSuccessors []string // running successors in the journal of the previous owner
-	revision                 uint64   // of the stored journal
+	lastLeaseEvent           scheduler.OwnershipLeaseChanged // last one passed to shard
+	earlierOwnersEndAt       time.Time                       // when the running leases of all earlier owners have ended; zero until known
+	earlierRunningSuccessors []string                        // running successors in the journal of the previous owner
+	revision                 uint64                          // of the stored journal
 	consecutiveWriteFailures int
 	successors               successorChange
-	pendingRequests          map[uint64]chan scheduler.AnswerSubmission
+	pendingRequests          map[uint64]chan scheduler.AnswerSubmission // by request ID
 	lastRequestID            uint64
 	endpoints                []scheduler.Endpoint
-	lost                     bool
+	lost                     bool // the shard was released or another host has claimed it
 }
 
 // successorChange holds the possible successors in the stored journal and a newer list that
-// may not be stored yet. Until it is stored, the owner needs the promises of the hosts in
-// both.
+// may not be stored yet. Until the newer list is stored, the owner needs the promises of the
+// hosts in both lists.
 type successorChange struct {
 	placing, running []string // in the stored journal
 	nextPlacing      []string
 	nextRunning      []string
 	pending          bool
-	sequence         uint64 // of the first journal write with the new list; 0 before it
+	sequence         uint64 // of the first journal write with the newer list; 0 before that write
 }
 
 // startOwnership starts to run a shard that this host has claimed. j is the journal that the
-// claim wrote, earlier the one before it; sentAt is when the claim was sent.
-func (p *Owner) startOwnership(j, earlier scheduler.Journal, recordsValue []byte, revision uint64, sentAt time.Time) {
+// claim wrote, earlier is the journal before the claim, and sentAt is when the claim was sent.
+func (p *Owner) startOwnership(j, earlier scheduler.Journal, jobHistory []byte, revision uint64, sentAt time.Time) {
 	ctx, stop := context.WithCancel(p.context)
 	p.mutex.Lock()
 	c, leaving := p.config, p.leaving
@@ -83,7 +83,7 @@
 	})
 	p.recordOwnerChange(j.Shard, "TenureEnded", fmt.Sprintf("epoch %d, previous owner %q, %d jobs", j.Epoch, earlier.Owner, len(j.Jobs)))
 	o.step(scheduler.ConfigurationChanged{Configuration: c})
-	o.step(scheduler.Claimed{Journal: j, JobHistory: recordsValue})
+	o.step(scheduler.Claimed{Journal: j, JobHistory: jobHistory})
 	for w := range leaving {
 		o.step(scheduler.WorkerLeaving{Worker: w, Leaving: true})
 	}
@@ -110,8 +110,8 @@
 	}
 }
 
-// step passes an event to the shard, after the current ends of its leases if they have
-// changed, and starts the resulting actions.
+// step passes an event to the shard and starts the resulting actions. If the ends of the
+// leases have changed, the shard receives them before the event.
 func (o *ownedShard) step(e scheduler.Event) {
 	o.mutex.Lock()
 	now := time.Now()
@@ -179,7 +179,7 @@
 }
 
 // enqueueCall queues a call to a worker. If the queue is full, the call is dropped and the
-// shard gets the event full instead.
+// shard receives the event full.
 func (o *ownedShard) enqueueCall(f func(context.Context), full scheduler.Event) {
 	select {
 	case o.owner.workerCalls <- f:
@@ -188,8 +188,8 @@
 	}
 }
 
-// placingLeaseValid reports whether this host may act as the owner now. It is checked right
-// before a fence or a write of the job history.
+// placingLeaseValid reports whether the lease for placing tasks is valid now. It is checked
+// right before a fence is sent or the job history is written.
 func (o *ownedShard) placingLeaseValid() bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -300,8 +300,8 @@
 	o.owner.removeIfReleased(o)
 }
 
-// resolveWrite reads the journal back until it is known whether the write took effect. A
-// write whose outcome is unknown is never repeated.
+// resolveWrite reads the journal back until a read succeeds and shows whether the write took
+// effect. A write whose outcome is unknown is never repeated.
 func (o *ownedShard) resolveWrite(a scheduler.WriteJournal, sentAt time.Time) {
 	for o.context.Err() == nil {
 		ctx, cancel := context.WithTimeout(o.context, callTimeout)
@@ -345,8 +345,8 @@
 }
 
 // nextRetryDelay counts a failed write and returns the time until the next attempt. From the
-// third failure in a row on, the store counts as unavailable, and the retries of all shards
-// are spread over 5 s, so that they cause no burst when it becomes available again.
+// third failure in a row on, the delay is random up to 5 s. This spreads the retries of all
+// shards, so that they cause no burst of writes when the store becomes available again.
 func (o *ownedShard) nextRetryDelay() time.Duration {
 	o.mutex.Lock()
 	o.consecutiveWriteFailures++
--- a/internal/shardowner/ownership_test.go
+++ b/internal/shardowner/ownership_test.go
@@ -53,7 +53,7 @@
 			s.setPartitioned(h.Name, "store", true)
 		}
 		time.Sleep(25 * time.Second)
-		s.locked(func() { s.is.True(s.unlistedStarts > 0) }) // starts go on during the outage
+		s.locked(func() { s.is.True(s.startsNotInJournal > 0) }) // starts go on during the outage
 		s.killHost(s.owner)
 		for _, h := range s.config.EntryHosts {
 			s.setPartitioned(h.Name, "store", false)
@@ -91,7 +91,8 @@
 }
 
 // Guards against slow recovery after the crash of an owner. The limits apply to the virtual
-// time from the crash to the claim, and to the first start of a new job by the successor.
+// time from the crash to the claim and from the crash to the first start of a new job by the
+// successor.
 func TestRecoveryTimeAfterOwnerCrash(t *testing.T) {
 	runOnCluster(t, 4, 100*time.Second, func(s *testCluster) {
 		s.killHost(s.owner)
--- a/internal/shardowner/shardowner.go
+++ b/internal/shardowner/shardowner.go
@@ -70,11 +70,13 @@
 	Configure(c *configurator.Configuration)
 	// SetLeaving sets the complete list of leaving workers.
 	SetLeaving(workers []string)
-	// Claims returns the owned shards for which the next heartbeat requests promises.
+	// Claims returns the owned shards. The next heartbeat requests promises from the other
+	// hosts not to claim them.
 	Claims() []messenger.ShardClaim
 	// RecordPromises records the promises in an answer to a heartbeat sent at sentAt.
 	RecordPromises(sentAt time.Time, a messenger.HeartbeatAnswer)
-	// AnswerClaims returns the promises that this host can give to the sender of a heartbeat.
+	// AnswerClaims returns the promises that this host can give to the sender of a heartbeat:
+	// not to claim the sender's shards for one TTL.
 	AnswerClaims(h messenger.Heartbeat) []messenger.Promise
 	// HomeShard returns the shard ("domain/shard") that jobs of this name are submitted to.
 	HomeShard(job string) string
@@ -100,19 +102,20 @@
 const (
 	// callTimeout bounds one call to the store or a worker.
 	callTimeout = time.Second
-	// workerCallConcurrency is the number of goroutines that call workers. Each worker has
-	// at most one outstanding request of each kind, so 64 goroutines suffice even if every
-	// worker of the failure domain answers only after callTimeout.
+	// workerCallConcurrency is the number of goroutines that call workers. A worker has at
+	// most one outstanding poll and one outstanding message with commands. Calls therefore
+	// wait for a goroutine only if at least 32 workers answer slowly at the same time.
 	workerCallConcurrency = 64
-	// workerCallQueueCapacity is the number of calls that can wait for a goroutine.
+	// workerCallQueueCapacity is the number of calls that can wait for a goroutine. Further
+	// calls are dropped.
 	workerCallQueueCapacity = 4096
 	// claimInterval is the time between checks for shards that can be claimed.
 	claimInterval = 200 * time.Millisecond
-	// claimDelayPerRank spaces the claims of the possible successors of one shard, so that
-	// normally only the first of them calls the store.
+	// claimDelayPerRank is how much longer each further possible successor of a shard waits
+	// before it claims the shard, so that normally only the first one calls the store.
 	claimDelayPerRank = 300 * time.Millisecond
 	// reportedOwnerMaxAge is how long a host counts as the owner of a shard after a
-	// heartbeat in which it said so.
+	// heartbeat in which it claimed the shard.
 	reportedOwnerMaxAge = 5 * time.Second
 )
 
@@ -127,11 +130,14 @@
 	closeMutex  sync.Mutex
 	closed      bool // set when stopping: no further goroutine may start
 
-	mutex            sync.Mutex
-	random           *rand.Rand
-	config           *configurator.Configuration
-	leaving          map[string]bool
-	placingSuccessor *lessor.Successor // leases for placing, in this failure domain; nil before the first configuration
+	mutex   sync.Mutex
+	random  *rand.Rand
+	config  *configurator.Configuration
+	leaving map[string]bool
+	// placingSuccessor decides when this host may claim shards of its own failure domain, and
+	// runningSuccessor when it may import jobs of the predecessor domains. Both are nil before
+	// the first configuration.
+	placingSuccessor *lessor.Successor
 	runningSuccessor *lessor.Successor
 	placingTTL       time.Duration // TTL of the lease for placing tasks
 	runningTTL       time.Duration // TTL of the lease for running tasks
@@ -143,10 +149,10 @@
 
 // cachedJournal is the latest version of a shard's journal that this host has read.
 type cachedJournal struct {
-	journal         scheduler.Journal
-	revision        uint64
-	undecodable     bool // the stored value cannot be decoded
-	claimInProgress bool // a claim of the shard or an import of its jobs is in progress
+	journal                 scheduler.Journal
+	revision                uint64
+	undecodable             bool // the stored value cannot be decoded
+	claimOrImportInProgress bool // a claim of the shard or an import of its jobs is in progress
 }
 
 // reportedOwner is a host that claimed a shard in a heartbeat.
@@ -159,7 +165,7 @@
 // stops it and waits for its goroutines.
 func New(s Settings) (*Owner, func(), error) {
 	if s.Host == "" || s.FailureDomain == "" || s.Incarnation == "" || s.Store == nil || s.Workers == nil || s.Random == nil {
-		return nil, nil, errors.New("proprietor: Host, FailureDomain, Incarnation, Store, Workers and Random are required")
+		return nil, nil, errors.New("shardowner: Host, FailureDomain, Incarnation, Store, Workers and Random are required")
 	}
 	if s.Logger == nil {
 		s.Logger = slog.New(slog.DiscardHandler)
@@ -327,7 +333,8 @@
 	}
 }
 
-// Claims returns the owned shards for which the next heartbeat requests promises.
+// Claims returns the owned shards. The next heartbeat requests promises from the other hosts
+// not to claim them.
 func (p *Owner) Claims() []messenger.ShardClaim {
 	var cs []messenger.ShardClaim
 	for _, o := range p.ownedShards() {
@@ -369,8 +376,9 @@
 	return ps
 }
 
-// successorFor returns the successor state of this host for shards of a failure domain, or
-// nil if this host cannot succeed their owners.
+// successorFor returns the Successor with which this host decides on claims of a failure
+// domain's shards (LeasePlacing) or on imports of their jobs (LeaseRunning). It returns nil if
+// this host may not claim or import them.
 func (p *Owner) successorFor(domain string, k messenger.LeaseKind) *lessor.Successor {
 	switch {
 	case k == messenger.LeasePlacing && domain == p.settings.FailureDomain:
@@ -381,8 +389,8 @@
 	return nil
 }
 
-// predecessors returns the failure domains that name the given one as their successor. If
-// they stop responding, its hosts import their jobs.
+// predecessors returns the failure domains whose configured successor is the given domain. If
+// a predecessor stops responding, the hosts of the given domain import its jobs.
 func predecessors(c *configurator.Configuration, domain string) []string {
 	var ds []string
 	for _, d := range c.FailureDomains {
@@ -398,8 +406,8 @@
 	return domain
 }
 
-// shardNames returns the configured shards of a failure domain, or of all if domain is "",
-// sorted.
+// shardNames returns the sorted names of the configured shards of a failure domain or, if
+// domain is "", of all failure domains.
 func shardNames(c *configurator.Configuration, domain string) []string {
 	seen := make(map[string]bool)
 	var names []string
@@ -466,8 +474,8 @@
 	})
 }
 
-// Cancel cancels a job and waits until the stored journal holds the cancellation. The job
-// may be in another shard than its home shard, which imported it.
+// Cancel cancels a job and waits until the stored journal holds the cancellation. If the job
+// was imported, it is in another shard than its home shard.
 func (p *Owner) Cancel(ctx context.Context, name string) (messenger.JobAnswer, error) {
 	shard := p.HomeShard(name)
 	o := p.ownedShard(shard)
--- a/internal/shardowner/shardowner_test.go
+++ b/internal/shardowner/shardowner_test.go
@@ -45,7 +45,7 @@
 		}
 		time.Sleep(60 * time.Second)
 		is.Equal(cl.finishedJobs(), 40)
-		cl.locked(func() { is.Equal(cl.unlistedStarts, 0) }) // each attempt was in the stored journal before its start
+		cl.locked(func() { is.Equal(cl.startsNotInJournal, 0) }) // each attempt was in the stored journal before its start
 		checkViolations(t, cl)
 	})
 }
@@ -55,10 +55,10 @@
 	h := cl.startHost("a0")
 	defer h.stop()
 	_, err := h.owner.Submit(context.Background(), scheduler.JobSpec{Name: "dent-repair-12", Class: "repair"})
-	fmt.Println(err) // no shard is claimed within the first TTL
+	fmt.Println(err) // no host claims a shard within one TTL after its start
 	_, _, err = shardowner.New(shardowner.Settings{Host: "a0"})
 	fmt.Println(err)
 	// Output:
 	// shard a/0 is owned by "", not by this host
-	// proprietor: Host, FailureDomain, Incarnation, Store, Workers and Random are required
+	// shardowner: Host, FailureDomain, Incarnation, Store, Workers and Random are required
 }
