--- a/internal/scheduler/action.go
+++ b/internal/scheduler/action.go
@@ -48,9 +48,9 @@
 	Address netip.AddrPort
 }
 
-// AnswerSubmission answers a JobSubmitted or CancellationRequested. If Accepted is false and
-// Unknown is set, the stored journal may hold the change; the caller can safely repeat the
-// request with the same name.
+// AnswerSubmission answers a JobSubmitted or CancellationRequested. Unknown is set only if
+// Accepted is false. It means that the stored journal may hold the change nevertheless; the
+// caller can safely repeat the request with the same name.
 type AnswerSubmission struct {
 	Request  uint64
 	Accepted bool
--- a/internal/scheduler/command.go
+++ b/internal/scheduler/command.go
@@ -13,9 +13,9 @@
 // requests it is serving.
 const instanceDrainPeriod = 30 * time.Second
 
-// commandOrder is the order of commands in one message. Forget precedes Start because an
-// ended task must leave the worker's table before the task can start again; Stop comes
-// last so that a burst of stops does not delay starts.
+// commandOrder is the order of commands in one message. Forget precedes Start, because an
+// ended task must leave the worker's table before the task can start again. Stop comes
+// last, so that a burst of stops does not delay starts.
 var commandOrder = map[commander.Verb]int{
 	commander.VerbForget: 0, commander.VerbStart: 1, commander.VerbRenew: 2,
 	commander.VerbCheckpoint: 3, commander.VerbThrottle: 4, commander.VerbStop: 5,
@@ -104,6 +104,7 @@
 		}
 		return c, true
 	case t.State == JobCanceling || t.State == JobEvicting && s.mayStop(t, now):
+		// A stop without effect is sent again 2 s after the end of its grace period.
 		if now.Sub(t.stopSentAt) > t.gracePeriod+2*time.Second {
 			return commander.Command{Verb: commander.VerbStop, Grace: t.gracePeriod, NotAfter: valid}, true
 		}
@@ -116,9 +117,10 @@
 	return s.renewal(w, t, now)
 }
 
-// mayStart reports whether the start command may be sent: the stored journal holds the
+// mayStart reports whether the start command may be sent. The stored journal must hold the
 // assignment or, while the store is unavailable, at least the job. In the second case a
-// later owner finds the started task in the worker's report.
+// later owner finds the started task in the worker's report. A batch task is started only if
+// the lease for running tasks lasts for at least unresponsiveTimeout.
 func (s *Shard) mayStart(t *task, now time.Time) bool {
 	if now.Sub(t.startSentAt) < startResendInterval || now.Add(unresponsiveTimeout).After(s.runningUntil) && t.kind == commander.KindBatch {
 		return false
@@ -185,7 +187,7 @@
 		}
 		switch {
 		case now.Sub(o.commandSentAt) < 2*time.Second:
-			continue
+			continue // a command without effect is sent again after 2 s
 		case !tr.State.Active() && s.mayForget(w, tr, now):
 			c.Verb = commander.VerbForget
 		case tr.State.Active() && o.stale:
--- a/internal/scheduler/event.go
+++ b/internal/scheduler/event.go
@@ -13,7 +13,7 @@
 // ConfigurationChanged puts a configuration into effect.
 type ConfigurationChanged struct{ Configuration *configurator.Configuration }
 
-// Claimed starts the ownership. Journal is the journal that the claim wrote; Records is
+// Claimed starts the ownership. Journal is the journal that the claim wrote. JobHistory is
 // the stored history of ended jobs and may be empty.
 type Claimed struct {
 	Journal    Journal
@@ -46,10 +46,10 @@
 	Name    string
 }
 
-// JobsImported adds the jobs of another shard's journal, which this shard takes over. The
-// answer is an AnswerImport once this shard's stored journal holds them.
+// JobsImported adds the jobs of another shard's journal to this shard. The answer is an
+// AnswerImport once this shard's stored journal holds them.
 type JobsImported struct {
-	From string // shard whose jobs are taken over
+	From string // shard whose jobs are imported
 	Jobs []JobEntry
 }
 
@@ -74,8 +74,8 @@
 	Reason string
 }
 
-// WorkerSuperseded reports that the worker has accepted a higher epoch.
-type WorkerSuperseded struct {
+// HigherEpochAccepted reports that the worker has accepted a higher epoch.
+type HigherEpochAccepted struct {
 	Worker string
 	Epoch  uint64
 }
@@ -93,7 +93,7 @@
 // JournalWritten reports that the store holds the journal with the given sequence number.
 type JournalWritten struct{ Sequence uint64 }
 
-// JournalFailed reports that the write did not take effect. The shard emits no further
+// JournalFailed reports that a write did not take effect. The shard emits no further
 // write before Retry has passed.
 type JournalFailed struct {
 	Sequence uint64
@@ -101,7 +101,7 @@
 	Reason   string
 }
 
-// JournalOutcomeUnknown reports that the answer to the write was lost. The caller reads the
+// JournalOutcomeUnknown reports that the answer to a write was lost. The caller reads the
 // journal back and then reports JournalWritten, JournalFailed or JournalLost.
 type JournalOutcomeUnknown struct{ Sequence uint64 }
 
@@ -135,7 +135,7 @@
 func (WorkerEpochAccepted) event()   {}
 func (ReportArrived) event()         {}
 func (PollFailed) event()            {}
-func (WorkerSuperseded) event()      {}
+func (HigherEpochAccepted) event()   {}
 func (CommandsAnswered) event()      {}
 func (JournalWritten) event()        {}
 func (JournalFailed) event()         {}
--- a/internal/scheduler/instance.go
+++ b/internal/scheduler/instance.go
@@ -64,6 +64,7 @@
 		if want[t.instanceKey()] == nil || have[t.instanceKey()] && !t.retiring {
 			s.retire(t, "instance is not configured for this shard or is a duplicate", now)
 		}
+		// The journal does not store the size and class of an inherited instance.
 		if t.Spec.Declared == (configurator.Resources{}) && want[t.instanceKey()] != nil {
 			t.Spec.Declared, t.Spec.Class = want[t.instanceKey()].Size, want[t.instanceKey()].Class
 		}
@@ -93,8 +94,8 @@
 	t.submittedVersion, t.changedVersion = s.version, s.version
 }
 
-// retire marks an instance for replacement or removal. An instance for which no start was
-// sent is removed at once.
+// retire marks an instance as retiring: it is stopped, after a replacement has started if
+// one is needed. An instance for which no start was sent is removed at once.
 func (s *Shard) retire(t *task, cause string, now time.Time) {
 	if t.retiring {
 		return
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -9,8 +9,9 @@
 // JobState is the state of a job.
 type JobState string
 
-// Job states. A rejected job can never run; its last decision names the reason and the
-// nearest size that would fit.
+// Job states. The values are stored, so their two spellings of canceling and cancelled stay.
+// A rejected job can never run; its last decision names the reason and the nearest size that
+// would fit.
 const (
 	JobPending   JobState = "pending"
 	JobStarting  JobState = "starting"
--- a/internal/scheduler/journal.go
+++ b/internal/scheduler/journal.go
@@ -10,8 +10,8 @@
 	// JournalVersion is the version of the journal encoding that this program reads and
 	// writes.
 	JournalVersion = 1
-	// MaxJournalBytes is the encoded size, in bytes, from which no new job is accepted. The
-	// difference to the store's limit of 1 MB is for state changes of the listed jobs.
+	// MaxJournalBytes is the encoded size, in bytes, above which no new job is accepted. The
+	// space up to the store's limit of 1 MB is left for state changes of the listed jobs.
 	MaxJournalBytes = 900 << 10
 	// maxDecodedJournalBytes is the size of the largest value that is decoded.
 	maxDecodedJournalBytes = 1 << 20
@@ -24,14 +24,14 @@
 	Owner      string // empty if the shard was released or never owned
 	Epoch      uint64
 	Renewal    uint64
-	Writer     string // identity of the process that wrote the value
+	Writer     string // incarnation of the process that wrote the value
 	Sequence   uint64 // number of the write; increases by one with each write
 	Successors []string
-	// RunningSuccessors are the hosts of the successor failure domain, which may take over
-	// the jobs.
+	// RunningSuccessors are the hosts of the successor failure domain, which may import the
+	// jobs.
 	RunningSuccessors []string
-	MovedTo           string `json:",omitempty"` // shard that takes over the jobs
-	// Moved maps names of jobs to the shards that took them over, so that a repeated
+	MovedTo           string `json:",omitempty"` // shard that imports the jobs
+	// Moved maps names of jobs to the shards that imported them, so that a repeated
 	// submission does not run a job a second time.
 	Moved     map[string]string `json:",omitempty"`
 	Jobs      []JobEntry
--- a/internal/scheduler/placing.go
+++ b/internal/scheduler/placing.go
@@ -14,12 +14,12 @@
 
 const (
 	// minPlacementDelay is the time from the first postponement of a task to the next
-	// placement decision about it. It doubles with each further postponement, except for
-	// urgent tasks.
+	// placement decision about the task. The time doubles with each further postponement,
+	// except for urgent tasks.
 	minPlacementDelay = 200 * time.Millisecond
-	// maxPlacementDelay bounds the growth of that time.
+	// maxPlacementDelay is the longest time between two placement decisions about a task.
 	maxPlacementDelay = 8 * time.Second
-	// mitigationInterval is the time between two requests for mitigations.
+	// mitigationInterval is the time between two calls of Placer.Mitigate.
 	mitigationInterval = time.Second
 )
 
@@ -77,8 +77,9 @@
 	}
 }
 
-// placerView returns the placer's description of a worker. Every task that is starting,
-// running, stopping, unconfirmed or left by an earlier owner holds its capacity.
+// placerView returns the placer's description of a worker. It lists every task that holds
+// capacity: tasks that are starting, running, stopping, unconfirmed or left by an earlier
+// owner.
 func (s *Shard) placerView(w *worker, now time.Time) placer.Worker {
 	v := placer.Worker{
 		Name: w.name, Rack: w.config.Rack, FailureDomain: s.settings.FailureDomain,
@@ -88,18 +89,18 @@
 		EpochAccepted: w.acceptsTasks(now),
 	}
 	for _, name := range sortedNames(w.tasks) {
-		v.AssignedTasks = append(v.AssignedTasks, s.placerResident(w.tasks[name]))
+		v.AssignedTasks = append(v.AssignedTasks, s.placerAssignedTask(w.tasks[name]))
 	}
 	for _, o := range w.unassigned {
 		if o.report.State.Active() {
-			v.AssignedTasks = append(v.AssignedTasks, unassignedResident(o.report))
+			v.AssignedTasks = append(v.AssignedTasks, placerUnassignedTask(o.report))
 		}
 	}
 	return v
 }
 
-// placerResident returns the placer's description of an assigned task.
-func (s *Shard) placerResident(t *task) placer.AssignedTask {
+// placerAssignedTask returns the placer's description of an assigned task.
+func (s *Shard) placerAssignedTask(t *task) placer.AssignedTask {
 	r := placer.AssignedTask{
 		Task: s.placerTask(t), Measured: t.report.Used, Slowdown: t.report.Slowdown, Started: t.Started,
 		Throttled: t.throttleLimit, LastAction: t.lastActionAt, Stopping: t.State == JobEvicting || t.State == JobCanceling,
@@ -111,9 +112,9 @@
 	return r
 }
 
-// unassignedResident returns the placer's description of a task that the shard has not
+// placerUnassignedTask returns the placer's description of a task that the shard has not
 // assigned to the worker. It counts as stopping, because the shard does not manage it.
-func unassignedResident(tr commander.TaskReport) placer.AssignedTask {
+func placerUnassignedTask(tr commander.TaskReport) placer.AssignedTask {
 	return placer.AssignedTask{
 		Task:      placer.Task{Name: tr.Task, Class: tr.Class, Kind: string(tr.Kind), Declared: tr.Declared, Attempt: tr.Attempt},
 		Committed: placer.CommittedResources(tr.Declared, tr.Used), Measured: tr.Used, Slowdown: tr.Slowdown, Stopping: true,
@@ -164,7 +165,7 @@
 		case t.State != JobPending || now.Before(t.nextPlacementAt):
 		case s.storeUnavailable && t.submittedVersion > s.durableVersion:
 		case t.inherited && !recovered && t.kind == commander.KindBatch:
-			// A worker that has not accepted this owner's epoch may still run it.
+			// A worker that has not accepted this owner's epoch may still run the job.
 		case t.kind == commander.KindBatch && active[t.Spec.Name]:
 			// A worker still runs an earlier attempt or an unlisted task of this name.
 		default:
@@ -210,7 +211,7 @@
 	t.State, t.Worker, t.postponements, t.lastReason = JobStarting, w.name, 0, ""
 	t.Decision = fmt.Sprintf("placed on %s by rule %s", w.name, d.Rule)
 	w.tasks[t.Spec.Name] = t
-	vs[i].AssignedTasks = append(vs[i].AssignedTasks, s.placerResident(t))
+	vs[i].AssignedTasks = append(vs[i].AssignedTasks, s.placerAssignedTask(t))
 	s.markChanged(t)
 	s.recordDecision(DecisionRecord{ID: t.Spec.Name, Kind: recorder.KindPlace, Rule: string(d.Rule), Cause: "pending", Worker: w.name, Candidates: d.Candidates}, now)
 }
@@ -230,7 +231,7 @@
 }
 
 // postpone sets the time of the next placement decision about a task. A decision is
-// recorded only if its rule differs from that of the last recorded one.
+// recorded only if its rule differs from the rule of the last recorded decision.
 func (s *Shard) postpone(t *task, kind recorder.Kind, rule, reason string, cs []placer.Candidate, now time.Time) {
 	delay := minPlacementDelay
 	if !s.isUrgent(t) {
@@ -276,8 +277,8 @@
 	s.postpone(t, recorder.KindPreempt, string(d.Rule), "room is being made on "+d.Worker, d.Candidates, now)
 }
 
-// evict starts the eviction of a batch task: its worker is told to checkpoint and stop it.
-// The job is requeued after the worker has reported both.
+// evict starts the eviction of a batch task: the next stop command makes the worker
+// checkpoint and stop it. The job is requeued once the worker reports it as stopped.
 func (s *Shard) evict(t *task, cause, rule string, grace time.Duration, cs []placer.Candidate, now time.Time) {
 	if t.State != JobStarting && t.State != JobRunning {
 		return
--- a/internal/scheduler/shard.go
+++ b/internal/scheduler/shard.go
@@ -22,8 +22,10 @@
 	// commandValidity is the time after sending during which a worker accepts a command.
 	// A command without an answer can no longer take effect after this time.
 	commandValidity = 3 * time.Second
-	// batchRenewalInterval allows four renewals within one lease.
-	batchRenewalInterval   = 5 * time.Second
+	// batchRenewalInterval is the time between two renewals of a batch task's lease. It allows
+	// four renewals within one lease.
+	batchRenewalInterval = 5 * time.Second
+	// serviceRenewalInterval is the time between two renewals of a service instance's lease.
 	serviceRenewalInterval = 2 * time.Minute
 	// pollInterval is the time between two fences or report requests to a worker.
 	pollInterval = time.Second
@@ -63,7 +65,7 @@
 	Shard         string // "domain/shard"
 	FailureDomain string
 	Host          string // the shard's owner
-	Writer        string // identity of the owner's process
+	Writer        string // incarnation of the owner's process
 	Placer        Placer
 }
 
@@ -87,13 +89,14 @@
 	workers  map[string]*worker
 	history  jobHistory
 
-	// placingUntil and runningUntil end the ownership lease for placing and for running
-	// tasks. The ownership lease of every earlier owner has ended at earlierOwnersEndAt.
+	// placingUntil and runningUntil are the ends of the leases for placing and for running
+	// tasks. At earlierOwnersEndAt, the lease for running tasks of every earlier owner has
+	// ended; it is zero until known.
 	placingUntil, runningUntil, earlierOwnersEndAt time.Time
 	claimedAt                                      time.Time
 	recoveryPending                                bool // tasks started by an earlier owner may not have been found yet
 
-	version          uint64 // of the last change
+	version          uint64 // number of the last change
 	durableVersion   uint64 // last version that the stored journal holds
 	writeSoon        bool   // write after minWriteInterval instead of maxWriteInterval
 	lastWrite        journalWrite
@@ -115,8 +118,8 @@
 	JobEntry
 	kind          commander.TaskKind
 	service       string
-	index         int
-	retiring      bool
+	index         int  // of the instance among the service's instances in the failure domain
+	retiring      bool // the instance is to be stopped
 	retiringSince time.Time
 
 	submittedVersion uint64 // version that first listed the task
@@ -178,15 +181,15 @@
 	case JobsImported:
 		s.importJobs(e, now)
 	case WorkerEpochAccepted:
-		s.handleWorkerFenced(e, now)
+		s.handleEpochAccepted(e, now)
 	case ReportArrived:
 		s.handleReport(e, now)
 	case PollFailed:
 		if w := s.workers[e.Worker]; w != nil {
 			w.pollOutstanding = false
 		}
-	case WorkerSuperseded:
-		s.handleWorkerRejected(e, now)
+	case HigherEpochAccepted:
+		s.handleHigherEpoch(e, now)
 	case CommandsAnswered:
 		s.handleCommandsAnswered(e, now)
 	case JournalWritten:
@@ -279,7 +282,7 @@
 }
 
 // restoreTask adds a task of an earlier owner. A task with a worker counts as possibly
-// started, because that owner may have sent the start command.
+// started, because the earlier owner may have sent the start command.
 func (s *Shard) restoreTask(t *task) {
 	s.tasks[t.Spec.Name] = t
 	if t.Worker != "" && !t.State.Ended() {
@@ -331,8 +334,8 @@
 }
 
 // recovered reports whether every task that an earlier owner started has been found or
-// has ended: every worker has reported its tasks under this owner's epoch, or the earlier
-// owners' ownership leases and the last task leases they may have granted have ended.
+// has ended. This is the case once every worker has reported its tasks under this owner's
+// epoch, or once every batch lease that an earlier owner may have granted has ended.
 func (s *Shard) recovered(now time.Time) bool {
 	if !s.recoveryPending {
 		return true
@@ -356,8 +359,8 @@
 	return !s.earlierOwnersEndAt.IsZero() && now.After(s.earlierOwnersEndAt.Add(BatchLeaseDuration+leaseDriftMargin))
 }
 
-// finishUnfoundCancellations ends inherited jobs that are being cancelled and that no
-// worker reports, once recovery is complete.
+// finishUnfoundCancellations ends the jobs that are being cancelled and that no worker has
+// reported by the time at which recovery is complete.
 func (s *Shard) finishUnfoundCancellations(now time.Time) {
 	if !s.recovered(now) {
 		return
@@ -479,7 +482,7 @@
 	return len(s.workers), accepted
 }
 
-// StoreAvailable reports whether the last write to the store succeeded.
+// StoreAvailable reports whether the last journal write succeeded.
 func (s *Shard) StoreAvailable() bool { return !s.storeUnavailable }
 
 func (s *Shard) status(b *JobEntry) JobStatus {
--- a/internal/scheduler/shard_test.go
+++ b/internal/scheduler/shard_test.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// Guards against a task lease or a command deadline that ends after the ownership lease,
-// and against an unacknowledged start whose capacity is assigned to another task.
+// Guards against a task lease or a command deadline that ends after the ownership lease. Also
+// guards against an unacknowledged start whose capacity is assigned to another task.
 func TestStartsCarryOwnershipLeaseInWorkerClock(t *testing.T) {
 	is := is.New(t)
 	d := newDriver(scheduler.Journal{Epoch: 1})
--- a/internal/scheduler/work.go
+++ b/internal/scheduler/work.go
@@ -12,8 +12,8 @@
 	"peridotpitch/internal/recorder"
 )
 
-// leaseDriftMargin covers the drift between the clocks of the worker and the owner during
-// one batch lease.
+// leaseDriftMargin is the time added to the end of a task lease to cover the drift between the
+// clocks of the worker and the owner during one batch lease.
 var leaseDriftMargin = lessor.Margin(BatchLeaseDuration)
 
 // worker is the state that the shard keeps for one of its workers.
@@ -34,8 +34,8 @@
 	commandsSentAt      time.Time
 	// commandsSettledAt is the time from which no earlier command can still take effect. A
 	// report that was requested after it lists every task that those commands started.
-	commandsSettledAt time.Time
-	superseded        bool // the worker has accepted a higher epoch
+	commandsSettledAt   time.Time
+	acceptedHigherEpoch bool // the worker has accepted a higher epoch
 
 	tasks      map[string]*task           // assigned by this owner or its predecessors
 	unassigned map[string]*unassignedTask // by attemptKey
@@ -74,7 +74,7 @@
 
 // acceptsTasks reports whether tasks may be assigned to the worker.
 func (w *worker) acceptsTasks(now time.Time) bool {
-	return w.epochAccepted && !w.removed && !w.leaving && !w.report.Leaving && !w.superseded && !w.unresponsive(now, unresponsiveTimeout)
+	return w.epochAccepted && !w.removed && !w.leaving && !w.report.Leaving && !w.acceptedHigherEpoch && !w.unresponsive(now, unresponsiveTimeout)
 }
 
 // pollWorkers requests a report from each worker that has accepted the owner's epoch and
@@ -96,9 +96,9 @@
 	}
 }
 
-// handleWorkerFenced records that a worker has accepted the owner's epoch and merges its
+// handleEpochAccepted records that a worker has accepted the owner's epoch and merges its
 // report.
-func (s *Shard) handleWorkerFenced(e WorkerEpochAccepted, now time.Time) {
+func (s *Shard) handleEpochAccepted(e WorkerEpochAccepted, now time.Time) {
 	w := s.workers[e.Worker]
 	if w == nil {
 		return
@@ -108,7 +108,7 @@
 		return
 	}
 	first := !w.epochAcceptedOnce
-	w.epochAccepted, w.epochAcceptedOnce, w.superseded = true, true, false
+	w.epochAccepted, w.epochAcceptedOnce, w.acceptedHigherEpoch = true, true, false
 	if first {
 		s.recordDecision(DecisionRecord{ID: w.name, Kind: recorder.KindAdopt, Rule: "WorkerFenced", Worker: w.name, Cause: "report merged"}, now)
 	}
@@ -133,23 +133,23 @@
 		return
 	}
 	if e.Report.Epoch > s.journal.Epoch {
-		w.epochAccepted, w.superseded = false, true
+		w.epochAccepted, w.acceptedHigherEpoch = false, true
 		return
 	}
 	s.mergeReport(w, e.Report, e.SentAt, e.ReceivedAt, now)
 }
 
-// handleWorkerRejected records that a worker has accepted a higher epoch, so that it gets
+// handleHigherEpoch records that a worker has accepted a higher epoch, so that it gets
 // no more commands from this owner.
-func (s *Shard) handleWorkerRejected(e WorkerSuperseded, now time.Time) {
+func (s *Shard) handleHigherEpoch(e HigherEpochAccepted, now time.Time) {
 	w := s.workers[e.Worker]
 	if w == nil {
 		return
 	}
-	if !w.superseded {
+	if !w.acceptedHigherEpoch {
 		s.recordDecision(DecisionRecord{ID: w.name, Kind: recorder.KindRefuse, Rule: "HigherEpoch", Worker: w.name, Cause: "the worker has accepted a higher epoch"}, now)
 	}
-	w.pollOutstanding, w.epochAccepted, w.superseded = false, false, true
+	w.pollOutstanding, w.epochAccepted, w.acceptedHigherEpoch = false, false, true
 	w.markOutcomeUnknown()
 }
 
@@ -246,9 +246,9 @@
 // attemptKey returns the key of an unassigned task: its name and attempt.
 func attemptKey(tr commander.TaskReport) string { return tr.Task + "\x00" + strconv.Itoa(tr.Attempt) }
 
-// adoptable reports whether a reported task is a later attempt of an inherited job than the
-// journal lists. While the store is unavailable, an owner may start jobs of its journal
-// without writing the assignment.
+// adoptable reports whether a reported task is an attempt of an inherited job that is later
+// than the attempt in the journal. Such attempts exist because an owner may start jobs of its
+// journal without writing the assignment while the store is unavailable.
 func (s *Shard) adoptable(w *worker, t *task, tr commander.TaskReport) bool {
 	return t.inherited && s.recoveryPending && tr.Attempt > t.Attempt && !t.State.Ended() &&
 		(t.Worker != w.name || tr.Attempt != t.Attempt)
@@ -311,8 +311,8 @@
 }
 
 // handleMissingTask handles an assigned task that a complete report does not list. A start
-// that did not take effect is sent again. After maxRefusedStarts refused starts, and if the
-// worker has lost a job that was started, the job is requeued.
+// that did not take effect is sent again. A job is requeued after maxRefusedStarts refused
+// starts, or if the worker has lost it after its start.
 func (s *Shard) handleMissingTask(w *worker, t *task, now time.Time) {
 	switch {
 	case t.State == JobStarting && !t.startConfirmed && !t.inherited:
@@ -407,7 +407,7 @@
 	s.clearAssignment(t)
 	t.Worker = at // shown to operators
 	t.State, t.Decision, t.Ended = state, decision, now
-	if before != "" { // explains the placement even if the host that made it has stopped
+	if before != "" { // keeps the text about the placement, whose decision record is lost if this host stops
 		t.Decision += "; before: " + before
 	}
 	s.markChanged(t)
@@ -462,8 +462,8 @@
 }
 
 // expireInstance retires an instance on an unresponsive worker, so that a replacement is
-// started, and removes it once its lease has ended. The replacement does not wait for that
-// end, because duplicate instances are harmless.
+// started, and removes the instance once its lease has ended. The replacement does not wait
+// for the end of the lease, because duplicate instances are harmless.
 func (s *Shard) expireInstance(w *worker, t *task, now time.Time) {
 	ended := now.After(t.leaseUntil.Add(leaseDriftMargin))
 	if t.leaseUntil.IsZero() {
--- a/internal/scheduler/writing.go
+++ b/internal/scheduler/writing.go
@@ -22,8 +22,8 @@
 	// maxDecisionBytes bounds the text of a decision in the journal, because it may quote a
 	// worker's reason of any length.
 	maxDecisionBytes = 300
-	// maxMovedJobNames bounds the names in Journal.Moved. Only names from earlier imports are
-	// dropped.
+	// maxMovedJobNames bounds the names in Journal.Moved. The names from the latest import are
+	// always kept; names from earlier imports are dropped.
 	maxMovedJobNames = 2000
 )
 
@@ -36,7 +36,7 @@
 }
 
 // pendingAnswer is an answer to a submission or cancellation. It is sent once the stored
-// journal holds the version.
+// journal holds the given version.
 type pendingAnswer struct {
 	request      uint64
 	version      uint64
@@ -44,7 +44,7 @@
 	isSubmission bool
 }
 
-// pendingImport is an import that is answered once the stored journal holds the version.
+// pendingImport is an import that is answered once the stored journal holds the given version.
 type pendingImport struct {
 	from    string
 	version uint64
@@ -245,7 +245,7 @@
 	switch {
 	case t.State.Ended() || t.State == JobCanceling:
 	case t.State == JobPending && t.inherited && !s.recovered(now):
-		// A worker that has not accepted this owner's epoch may still run it.
+		// A worker that has not accepted this owner's epoch may still run the job.
 		t.State = JobCanceling
 		s.markChanged(t)
 	case !t.maybeStarted:
@@ -285,8 +285,9 @@
 
 const (
 	// maxHistoryJobs and maxHistoryBytes bound the stored history of ended jobs.
-	maxHistoryJobs       = 500
-	maxHistoryBytes      = 512 << 10
+	maxHistoryJobs  = 500
+	maxHistoryBytes = 512 << 10
+	// historyWriteInterval is the shortest time between two writes of the history.
 	historyWriteInterval = 10 * time.Second
 )
 
@@ -308,8 +309,8 @@
 	return nil
 }
 
-// load decodes the stored history. A value that cannot be decoded counts as empty, because
-// the history is shown to operators only.
+// load decodes the stored history. A value that cannot be decoded counts as empty: operators
+// no longer see the jobs that it listed, and their names can be submitted again.
 func (h *jobHistory) load(value []byte) {
 	var jobs []JobEntry
 	if len(value) == 0 || json.Unmarshal(value, &jobs) != nil {
--- a/internal/shardowner/ownership.go
+++ b/internal/shardowner/ownership.go
@@ -210,7 +210,7 @@
 	case err != nil:
 		o.step(scheduler.PollFailed{Worker: a.Worker, Reason: err.Error()})
 	case !f.Accepted:
-		o.step(scheduler.WorkerSuperseded{Worker: a.Worker, Epoch: f.Epoch})
+		o.step(scheduler.HigherEpochAccepted{Worker: a.Worker, Epoch: f.Epoch})
 	default:
 		o.step(scheduler.WorkerEpochAccepted{Worker: a.Worker, Epoch: a.Epoch, Report: f.Report, SentAt: sentAt, ReceivedAt: time.Now()})
 	}
@@ -245,7 +245,7 @@
 	case err != nil:
 		o.step(scheduler.CommandsAnswered{Worker: a.Worker, Unreachable: true})
 	case !m.Accepted:
-		o.step(scheduler.WorkerSuperseded{Worker: a.Worker, Epoch: m.Epoch})
+		o.step(scheduler.HigherEpochAccepted{Worker: a.Worker, Epoch: m.Epoch})
 	default:
 		o.step(scheduler.CommandsAnswered{Worker: a.Worker, Results: m.Results})
 	}
