--- a/internal/placer/baseline.go
+++ b/internal/placer/baseline.go
@@ -2,8 +2,9 @@
 
 import "peridotpitch/internal/configurator"
 
-// firstFit chooses the first worker whose declared sizes leave enough capacity. Like bestFit it puts
-// a second member of a spread group on a worker only if no other worker fits.
+// firstFit chooses the first worker on which the declared sizes of the assigned tasks leave enough
+// capacity. Like bestFit, it puts a second member of a spread group on a worker only if no other
+// worker has enough capacity.
 func (s *search) firstFit() int {
 	s.rule = RuleFirstFit
 	fallback := -1
@@ -31,7 +32,8 @@
 	return s.t.Spread != "" && s.p.workerSummaries[i].groupMembers(s.t.Spread) > 0
 }
 
-// bestFit chooses the worker with the least free declared capacity among those where the task fits.
+// bestFit chooses a worker among those where the task fits: the one with the smallest sum of the
+// shares of cores and of memory that the declared sizes of its assigned tasks leave free.
 func (s *search) bestFit() int {
 	s.rule = RuleBestFit
 	for i := range s.ws {
@@ -43,7 +45,7 @@
 			}
 			r := ranked{worker: i, score: freeShare, free: free}
 			if s.hasGroupMember(i) {
-				r.tier = 1
+				r.tier = 1 // ranks after all workers without a member of the group
 			}
 			s.insert(r)
 		}
@@ -54,8 +56,8 @@
 	return s.ranked[0].worker
 }
 
-// freeDeclared returns the capacity of worker i that declared sizes leave free, and whether the
-// worker can take the task.
+// freeDeclared returns the capacity of worker i that the declared sizes of its assigned tasks leave
+// free, and whether the worker can take the task.
 func (s *search) freeDeclared(i int) (configurator.Resources, bool) {
 	if reason := s.unavailable(i); reason >= 0 {
 		s.rejected[reason]++
--- a/internal/placer/bench_test.go
+++ b/internal/placer/bench_test.go
@@ -35,7 +35,8 @@
 	return Policy{Quotas: quotas}
 }
 
-// BenchmarkPlace measures a call of Place after one worker has changed.
+// BenchmarkPlace measures a call of Place after one worker has changed, for several numbers of
+// workers in the shard.
 func BenchmarkPlace(b *testing.B) {
 	for _, n := range []int{20, 100, 165, 300, 990} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -61,7 +62,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			p, ws := newPlacer(benchPolicy()), benchFleet(n)
 			for i := range ws {
-				ws[i].Capacity.Cores = 17
+				ws[i].Capacity.Cores = 17 // 17 tasks of one core each: no core is free
 			}
 			t := batchTask("new", 2)
 			t.Urgent = true
@@ -96,7 +97,7 @@
 	p, ws := newPlacer(benchPolicy()), benchFleet(165)
 	task := batchTask("new", 1)
 	p.Place(task, ws, testStart)
-	const bound = 4 // the candidates and the decision
+	const bound = 4 // a few, for the candidates and the decision
 	if n := testing.AllocsPerRun(100, func() { p.Place(task, ws, testStart) }); n > bound {
 		t.Errorf("Place made %.0f allocations, want at most %d", n, bound)
 	}
--- a/internal/placer/estimator.go
+++ b/internal/placer/estimator.go
@@ -22,11 +22,11 @@
 	// outlierSigmas is the number of standard deviations to which the deviation of one report
 	// from the prediction is clipped.
 	outlierSigmas = 3
-	// coefficientHalfLife is the time after which a learned coefficient has moved half of the
-	// way back to the prior.
+	// coefficientHalfLife is the time after which an estimated coefficient without new reports
+	// has moved half of the way back to the prior.
 	coefficientHalfLife = 2 * time.Hour
 	// uncertaintySigmas is the number of standard deviations added to an expected coefficient, so
-	// that a class without observations counts as worse than one that is known to be mild.
+	// that a class without observations counts as worse than a class with a low estimate.
 	uncertaintySigmas = 0.5
 	// maxReportTimes bounds the number of workers whose last report time is kept.
 	maxReportTimes = 4096
@@ -37,8 +37,8 @@
 )
 
 // victimModel is the Kalman filter state of one victim class: the coefficients of its
-// neighbour classes and their covariance. The covariance matters because the effects of classes
-// that always run together cannot be told apart, which independent variances would hide.
+// neighbour classes and their covariance. The covariance records that the effects of classes that
+// always run together cannot be told apart; independent variances would hide this.
 type victimModel struct {
 	mean      [maxClasses]float64
 	cov       [maxClasses * maxClasses]float64
@@ -48,13 +48,16 @@
 // runningRatio is a running mean and mean absolute deviation of measured over declared size.
 type runningRatio struct{ mean, deviation float64 }
 
+// sizeRatio is the ratio of measured to declared size of a class, for cores and for memory.
 type sizeRatio struct {
 	cores, memory runningRatio
 	count         int
 }
 
+// estimator estimates, from workers' reports, the interference between classes and the actual
+// sizes of their tasks.
 type estimator struct {
-	classes        map[string]int
+	classes        map[string]int           // table index by class name, from 1; 0 is shared by classes beyond maxClasses
 	victims        [maxClasses]*victimModel // by victim class; nil without observations
 	sizes          [maxClasses]sizeRatio
 	lastReports    map[string]time.Time // by worker: measurement time of the last report used
@@ -100,11 +103,11 @@
 	return math.Exp2(-float64(age) / float64(coefficientHalfLife))
 }
 
-// minDecayInterval is the least age at which decay is applied to a model. Applying it for each
-// report would cost more than the update itself.
+// minDecayInterval is the shortest time between two decays of a model. Applying the decay for each
+// report would cost more than the update with the report.
 const minDecayInterval = time.Minute
 
-// decay moves the coefficients and their covariance towards the prior.
+// decay moves the coefficients of the first count classes and their covariance towards the prior.
 func (m *victimModel) decay(at time.Time, count int) {
 	age := at.Sub(m.updatedAt)
 	if age < minDecayInterval {
@@ -164,8 +167,8 @@
 }
 
 // Observe updates the interference model and the size correction from a report. w.AssignedTasks
-// must be the tasks and figures that were measured at w.MeasuredAt. A report that was used
-// before changes nothing.
+// must be the tasks and figures that were measured at w.MeasuredAt. A report that is not newer
+// than the last one used of the worker changes nothing.
 func (p *Placer) Observe(w Worker, now time.Time) {
 	e := p.estimator
 	if w.Capacity.Cores <= 0 || w.MeasuredAt.After(now) || !e.acceptReport(w.Name, w.MeasuredAt) {
@@ -224,7 +227,7 @@
 	for _, c := range e.presentClasses {
 		variance += e.neighbourLoad(c, victim, ownLoad) * covLoads[c]
 	}
-	// A slowdown with another cause must not be attributed to the neighbours.
+	// Clipping limits how much of a slowdown with another cause is attributed to the neighbours.
 	bound := outlierSigmas * math.Sqrt(variance)
 	innovation := min(bound, max(-bound, excess-predicted))
 	for i := range n {
@@ -239,7 +242,7 @@
 	}
 }
 
-// neighbourLoad returns the load of class c beside a victim, without the victim's own load.
+// neighbourLoad returns the load of class c on the victim's worker, without the victim's own load.
 func (e *estimator) neighbourLoad(c, victim int, ownLoad float64) float64 {
 	if c == victim {
 		return max(0, e.classLoads[c]-ownLoad)
@@ -247,6 +250,8 @@
 	return e.classLoads[c]
 }
 
+// updateSizeRatio updates the size correction of a class with one measured size. The measurement
+// of a throttled task is ignored, because the throttle limits its usage.
 func (e *estimator) updateSizeRatio(class int, r *AssignedTask) {
 	if r.Measured.Cores <= 0 || r.Declared.Cores <= 0 || r.Throttled > 0 && r.Throttled < 1 {
 		return
@@ -278,8 +283,8 @@
 // not corrected.
 const minSizeSamples = 3
 
-// expectedSize returns the size that a task of the class is expected to reach, at least the
-// declared one.
+// expectedSize returns the size that a task of the class is expected to reach. It is not below
+// the declared size.
 func (e *estimator) expectedSize(class int, declared configurator.Resources) configurator.Resources {
 	s := &e.sizes[class]
 	if s.count < minSizeSamples {
--- a/internal/placer/failures.go
+++ b/internal/placer/failures.go
@@ -10,11 +10,11 @@
 	// quarantineFailures is the number of consecutive failures of different jobs that put a
 	// worker into quarantine.
 	quarantineFailures = 3
-	// initialQuarantine is the length of the first quarantine. It doubles with each failed probe
-	// up to maxQuarantine.
+	// initialQuarantine is the length of the first quarantine. The length doubles with each failed
+	// probe, up to maxQuarantine.
 	initialQuarantine = 30 * time.Second
 	maxQuarantine     = 10 * time.Minute
-	// probeTimeout is the time after which a probe that has reported no end may be repeated.
+	// probeTimeout is the time after which a worker whose probe has not ended may get another probe.
 	probeTimeout = 10 * time.Minute
 	// staleQuarantineAge is the time after the end of a quarantine from which a worker without a
 	// successful probe no longer counts as one of the shard's workers.
@@ -32,15 +32,17 @@
 
 // failureHistory is the recent history of the tasks that ended on one worker.
 type failureHistory struct {
-	jobs               []string // different jobs that failed since the last success
-	failed, ended      float64  // recent ends, decayed over failureWindow
-	updatedAt          time.Time
-	quarantinedUntil   time.Time // a probe is due from then on; zero if not quarantined
-	quarantineDuration time.Duration
-	probeTask          string // task of the running probe
-	probeStarted       time.Time
+	consecutiveFailedJobs []string // different jobs that failed since the last success
+	failed, ended         float64  // recent ends, decayed over failureWindow
+	updatedAt             time.Time
+	quarantinedUntil      time.Time // a probe is due from then on; zero if not quarantined
+	quarantineDuration    time.Duration
+	probeTask             string // task of the running probe
+	probeStarted          time.Time
 }
 
+// failureTracker keeps the failure histories of workers and decides which workers are in
+// quarantine. A worker in quarantine gets no tasks except single batch tasks as probes.
 type failureTracker struct {
 	workers       map[string]*failureHistory
 	firstFailedOn map[string]string // job: first worker on which it failed
@@ -68,15 +70,15 @@
 		f.probeEnded(h, failed, now)
 	}
 	if !failed {
-		h.jobs = h.jobs[:0]
+		h.consecutiveFailedJobs = h.consecutiveFailedJobs[:0]
 		return
 	}
 	h.failed++
-	if f.failedElsewhere(task, worker) || slices.Contains(h.jobs, task) {
+	if f.failedElsewhere(task, worker) || slices.Contains(h.consecutiveFailedJobs, task) {
 		return
 	}
-	h.jobs = append(h.jobs, task)
-	if len(h.jobs) < quarantineFailures || !h.quarantinedUntil.IsZero() {
+	h.consecutiveFailedJobs = append(h.consecutiveFailedJobs, task)
+	if len(h.consecutiveFailedJobs) < quarantineFailures || !h.quarantinedUntil.IsZero() {
 		return
 	}
 	// If half of the shard's workers fail their tasks, the cause is more likely in the tasks
@@ -86,7 +88,7 @@
 	}
 	h.quarantineDuration = initialQuarantine
 	h.quarantinedUntil = now.Add(h.quarantineDuration)
-	h.jobs = h.jobs[:0]
+	h.consecutiveFailedJobs = h.consecutiveFailedJobs[:0]
 }
 
 // quarantinedCount returns the number of workers in quarantine. A worker whose probe has been
@@ -112,8 +114,8 @@
 	h.quarantineDuration = 0
 }
 
-// failedElsewhere reports whether the job has failed on another worker before. Its failures then
-// say more about the job than about the worker. The first worker of each job is recorded.
+// failedElsewhere reports whether the job has failed on another worker before. If so, the cause is
+// more likely in the job than in the worker. The first worker on which a job fails is recorded.
 func (f *failureTracker) failedElsewhere(job, worker string) bool {
 	first, ok := f.firstFailedOn[job]
 	if ok {
@@ -153,8 +155,8 @@
 	return h != nil && !h.quarantinedUntil.IsZero()
 }
 
-// excludes reports whether a worker's quarantine keeps a task from it. A worker that is due for a
-// probe accepts one batch task that is not urgent and is on its first attempt.
+// excludes reports whether a task must not be placed on a worker because of its quarantine. A worker
+// that is due for a probe may take one batch task that is not urgent and is on its first attempt.
 func (f *failureTracker) excludes(w *Worker, t *Task, now time.Time) bool {
 	h := f.workers[w.Name]
 	if h == nil || h.quarantinedUntil.IsZero() {
--- a/internal/placer/headroom.go
+++ b/internal/placer/headroom.go
@@ -7,10 +7,10 @@
 	"peridotpitch/internal/configurator"
 )
 
-// Settings of the headroom that is kept for urgent batch tasks, so that they evict fewer tasks.
+// Settings of the headroom that is kept for urgent batch tasks, so that they preempt fewer tasks.
 const (
 	// headroomWorkerShare is the share of a shard's workers that keep headroom for one urgent task
-	// each, if throughput has no weight beside evictions.
+	// each, if the operator's measures give throughput no weight.
 	headroomWorkerShare = 0.12
 	// urgentSizeRetention is the time without an urgent task after which the headroom is dropped.
 	urgentSizeRetention = time.Hour
@@ -33,9 +33,9 @@
 	}
 }
 
-// surplusHeadroom returns by how many the workers with free capacity for an urgent task exceed the
-// wanted number. If the result is not above 0, none of them may lose that capacity to a task that
-// is not urgent.
+// surplusHeadroom returns the number of workers with free capacity for an urgent task minus the
+// wanted number of such workers. If the result is not above 0, none of them may lose that capacity
+// to a batch task that is not urgent. The result is math.MaxInt if no headroom is needed.
 func (s *search) surplusHeadroom() int {
 	p := s.p
 	if s.t.Urgent || s.t.Kind == KindService || p.urgentHeadroom.size.Cores == 0 {
@@ -57,7 +57,7 @@
 	return n
 }
 
-// consumesHeadroom reports whether the task on worker i would take headroom that is needed.
+// consumesHeadroom reports whether placing the task on worker i would use headroom that is needed.
 func (s *search) consumesHeadroom(i int, free configurator.Resources, surplus int) bool {
 	if surplus > 0 {
 		return false
--- a/internal/placer/mitigation.go
+++ b/internal/placer/mitigation.go
@@ -14,7 +14,7 @@
 	// minThrottleLimit is the lowest limit of a throttle, as a share of declared cores.
 	minThrottleLimit = 0.25
 	// minNeighbourSlowdown is the estimated excess slowdown that a neighbour must add to the
-	// service to be acted upon.
+	// service before mitigation acts on the neighbour.
 	minNeighbourSlowdown = 0.02
 	// targetExcessShare is the share of the permitted excess slowdown (SlowdownBound - 1) to
 	// which a throttle should bring the service.
@@ -24,19 +24,20 @@
 	// maxPressureAfterRelease is the highest estimated pressure after a release. The gaps between
 	// both bounds and 1 prevent oscillation.
 	maxPressureAfterRelease = 0.95
-	// initialThrottleHold is how long a throttle stays at least. The time doubles, up to
-	// maxThrottleHold, when a new throttle follows a release within twice the time.
+	// initialThrottleHold is the shortest time between a throttle and its release. The hold time
+	// doubles, up to maxThrottleHold, if a task is throttled again within twice the hold time
+	// after a release.
 	initialThrottleHold = 30 * time.Second
 	maxThrottleHold     = 10 * time.Minute
 	// checkpointTimeout is the time that a checkpoint may take before the task is stopped.
 	checkpointTimeout = 30 * time.Second
 	// moveBackDelay is how long a task that was moved away is not placed on the same worker.
 	moveBackDelay = 10 * time.Minute
-	// maxMemoryShare is the share of a worker's memory in use above which a batch task is moved,
-	// before the worker runs out of memory.
+	// maxMemoryShare is the share of a worker's memory in use above which a batch task is moved, so
+	// that the worker does not run out of memory.
 	maxMemoryShare = 0.97
 	// minExplainedShare is the share of a service's excess slowdown that the estimate must
-	// attribute to its neighbours for an action to make sense.
+	// attribute to the batch tasks beside it before mitigation acts on one of them.
 	minExplainedShare = 0.3
 	// maxIneffectiveActions is the number of actions on a worker in one mitigationWindow after which
 	// mitigation pauses until the end of the window if the actions had too little effect.
@@ -46,7 +47,8 @@
 	ineffectiveExcessShare = 0.8
 	// mitigationWindow is the time over which the actions on a worker are counted.
 	mitigationWindow = 5 * time.Minute
-	// maxMitigatedTasks bounds the tables of tasks.
+	// maxMitigatedTasks bounds the number of tasks with a mitigation history, and the number with a
+	// recorded move.
 	maxMitigatedTasks = 4096
 )
 
@@ -72,22 +74,23 @@
 	actions         int
 }
 
+// mitigationState is the history of mitigation actions that limits further actions.
 type mitigationState struct {
 	attempts    map[string]mitigationAttempt // by worker
 	lastActions map[string]time.Time         // by worker
 	tasks       map[string]*taskMitigation   // by task
-	moves       map[string]move              // by task
+	recentMoves map[string]move              // by task
 }
 
 func newMitigationState() mitigationState {
-	return mitigationState{attempts: map[string]mitigationAttempt{}, lastActions: map[string]time.Time{}, tasks: map[string]*taskMitigation{}, moves: map[string]move{}}
+	return mitigationState{attempts: map[string]mitigationAttempt{}, lastActions: map[string]time.Time{}, tasks: map[string]*taskMitigation{}, recentMoves: map[string]move{}}
 }
 
 func (s *mitigationState) recentlyMovedFrom(task, worker string, now time.Time) bool {
-	if len(s.moves) == 0 {
+	if len(s.recentMoves) == 0 {
 		return false
 	}
-	m, ok := s.moves[task]
+	m, ok := s.recentMoves[task]
 	return ok && m.worker == worker && now.Before(m.until)
 }
 
@@ -99,9 +102,9 @@
 			delete(s.attempts, w)
 		}
 	}
-	for t, m := range s.moves {
-		if !now.Before(m.until) || len(s.moves) > maxMitigatedTasks {
-			delete(s.moves, t)
+	for t, m := range s.recentMoves {
+		if !now.Before(m.until) || len(s.recentMoves) > maxMitigatedTasks {
+			delete(s.recentMoves, t)
 		}
 	}
 	for t, r := range s.tasks {
@@ -155,8 +158,9 @@
 	return r
 }
 
-// pressure returns the excess slowdown of a service instance relative to the one at SlowdownBound,
-// or its latency relative to its target if that is larger. The instance is degraded above 1.
+// pressure returns the excess slowdown of a service instance as a share of the excess slowdown at
+// SlowdownBound, or its latency as a share of its latency target if that is larger. The instance is
+// degraded if the result is above 1.
 func (p *Placer) pressure(r *AssignedTask) float64 {
 	out := 0.0
 	if r.Slowdown > 0 {
@@ -173,7 +177,7 @@
 // Mitigate returns at most one action per worker: an action on the batch task that slows down the
 // worker's most degraded service at the least cost, the release of a throttle, or the move of a
 // batch task if memory runs out. The next action on a worker waits for a report that was measured
-// after the last one.
+// after the last action.
 func (p *Placer) Mitigate(ws []Worker, now time.Time) []Mitigation {
 	if p.baseline() {
 		return nil
@@ -210,8 +214,9 @@
 	return out
 }
 
-// lastAction returns the time of the last action on a worker. It includes the assigned tasks' own
-// times, which are still known after a change of owner.
+// lastAction returns the time of the last action on a worker. It takes the last actions of the
+// assigned tasks into account, because the caller may know of actions that this placer did not
+// decide.
 func (p *Placer) lastAction(w *Worker) time.Time {
 	last := p.mitigation.lastActions[w.Name]
 	for i := range w.AssignedTasks {
@@ -222,14 +227,14 @@
 
 // neighbour is a batch task on the worker of a degraded service.
 type neighbour struct {
-	resident        int
+	taskIndex       int
 	slowdown        float64 // estimated excess slowdown that it adds to the service
 	costPerSlowdown float64
 }
 
-// neighbours returns the batch tasks on which an action may relieve a service, cheapest first; the
-// index of a task whose checkpoint is overdue, or -1; and the excess slowdown that the estimate
-// attributes to all batch tasks together.
+// neighbours returns three results: the batch tasks on which an action may reduce the slowdown of a
+// service, in order of cost per slowdown; the index of a task whose checkpoint is overdue, or -1;
+// and the excess slowdown that the estimate attributes to all batch tasks together.
 func (p *Placer) neighbours(w *Worker, service *AssignedTask, now time.Time) (list []neighbour, overdue int, explained float64) {
 	victim := p.estimator.classIndex(service.Class)
 	overdue = -1
@@ -268,8 +273,9 @@
 	return list, overdue, explained
 }
 
-// mitigateService returns the next action for a degraded service: a throttle if a neighbour can still be
-// throttled, then a move of a neighbour, then a stop of one whose checkpoint is overdue.
+// mitigateService returns the next action for a degraded service, or nil. It throttles a neighbour
+// that can still be throttled. If there is none, it moves a neighbour. If none may be moved, it
+// stops a task whose checkpoint is overdue.
 func (p *Placer) mitigateService(w *Worker, service *AssignedTask, pressure float64, now time.Time) Mitigation {
 	list, overdue, explained := p.neighbours(w, service, now)
 	if !p.likelyEffective(w, service, explained, now) {
@@ -278,7 +284,7 @@
 	cause := fmt.Sprintf("slowdown %.2f, latency %s, target %s", service.Slowdown, service.Latency, service.LatencyTarget)
 	candidates := neighbourCandidates(w, list, now)
 	for _, n := range list {
-		r := &w.AssignedTasks[n.resident]
+		r := &w.AssignedTasks[n.taskIndex]
 		if limit := limitOf(r); limit > minThrottleLimit {
 			t := p.mitigation.recordAction(w.Name, r.Name, now)
 			t.recordThrottle(now)
@@ -289,12 +295,12 @@
 	// The higher the weight of evictions, the more degraded a service must be to justify one.
 	mayMove := pressure > 1+p.measures.Evictions
 	for _, n := range list {
-		r := &w.AssignedTasks[n.resident]
+		r := &w.AssignedTasks[n.taskIndex]
 		if r.Urgent || !mayMove {
 			continue
 		}
 		p.mitigation.recordAction(w.Name, r.Name, now).checkpointed = now
-		p.mitigation.moves[r.Name] = move{w.Name, now.Add(moveBackDelay)}
+		p.mitigation.recentMoves[r.Name] = move{w.Name, now.Add(moveBackDelay)}
 		return Checkpoint{Worker: w.Name, Task: r.Name, Service: service.Name, Rule: RuleMove, Cause: cause, Candidates: candidates}
 	}
 	if overdue >= 0 && p.mitigation.belowActionLimit(w.AssignedTasks[overdue].Name, now) {
@@ -306,8 +312,8 @@
 }
 
 // likelyEffective reports whether mitigation can help: the neighbours explain enough of the excess
-// slowdown, and earlier actions on the worker had an effect. It cannot help an instance that is
-// slow for a reason of its own.
+// slowdown, and earlier actions on the worker had an effect. Mitigation cannot help an instance that
+// is slow for another reason than its neighbours.
 func (p *Placer) likelyEffective(w *Worker, service *AssignedTask, explained float64, now time.Time) bool {
 	if service.Slowdown > 0 && explained < minExplainedShare*(service.Slowdown-1) {
 		return false
@@ -323,8 +329,8 @@
 	return true
 }
 
-// recordThrottle records a throttle. If it follows soon on a release, the release came too early
-// and the next throttle is held for longer.
+// recordThrottle records a throttle. If it follows a release within twice the hold time, the release
+// came too early, and this throttle is held for longer.
 func (r *taskMitigation) recordThrottle(now time.Time) {
 	if !r.released.IsZero() && now.Sub(r.released) < 2*r.throttleHold {
 		r.throttleHold = min(2*r.throttleHold, maxThrottleHold)
@@ -341,8 +347,8 @@
 }
 
 // nextLimit returns the limit, a multiple of 0.25, that is estimated to remove the excess slowdown
-// of a service to which the task adds the given slowdown. It is at least one step below the
-// present limit.
+// of a service to which the task adds the given slowdown. The result is below the present limit and
+// not below minThrottleLimit.
 func nextLimit(limit, excess, slowdown float64) float64 {
 	wanted := limit * (1 - excess/slowdown)
 	for step := 0.75; step > minThrottleLimit; step -= 0.25 {
@@ -356,7 +362,7 @@
 func neighbourCandidates(w *Worker, list []neighbour, now time.Time) []Candidate {
 	out := make([]Candidate, 0, min(len(list), MaxCandidates))
 	for _, n := range list[:min(len(list), MaxCandidates)] {
-		out = append(out, Candidate{Name: w.AssignedTasks[n.resident].Name, Score: n.costPerSlowdown, Interference: n.slowdown, Age: now.Sub(w.MeasuredAt)})
+		out = append(out, Candidate{Name: w.AssignedTasks[n.taskIndex].Name, Score: n.costPerSlowdown, Interference: n.slowdown, Age: now.Sub(w.MeasuredAt)})
 	}
 	return out
 }
@@ -372,7 +378,7 @@
 		}
 		t := p.mitigation.task(r.Name)
 		if t.throttled.IsZero() {
-			// An earlier owner of the shard throttled the task: the hold time starts now.
+			// An earlier owner of the shard has throttled the task. The hold time starts now.
 			t.throttled = now
 		}
 		if now.Sub(latest(t.throttled, t.released)) < t.throttleHold {
@@ -416,6 +422,6 @@
 	}
 	r := &w.AssignedTasks[best]
 	p.mitigation.recordAction(w.Name, r.Name, now).checkpointed = now
-	p.mitigation.moves[r.Name] = move{w.Name, now.Add(moveBackDelay)}
+	p.mitigation.recentMoves[r.Name] = move{w.Name, now.Add(moveBackDelay)}
 	return Checkpoint{Worker: w.Name, Task: r.Name, Rule: RuleOverCapacity, Cause: fmt.Sprintf("measured memory %d of %d bytes", used, w.Capacity.Memory)}
 }
--- a/internal/placer/mitigation_test.go
+++ b/internal/placer/mitigation_test.go
@@ -101,12 +101,12 @@
 		f.AssignedTasks[0].Slowdown = 1.5 // stays degraded
 	}
 	is.Equal(kinds, []string{"throttle", "throttle", "checkpoint", "checkpoint"})
-	is.True(stops > 0) // the checkpoints never complete
-	is.True(stops <= 2*maxActionsPerHour)
+	is.True(stops > 0)                    // the checkpoints never complete
+	is.True(stops <= 2*maxActionsPerHour) // there are two noisy tasks
 }
 
 // TestMitigationOfUnrelatedSlowdown guards against neighbours being throttled and moved without end
-// because an instance is slow for a reason of its own.
+// although an instance is slow for another reason than its neighbours.
 func TestMitigationOfUnrelatedSlowdown(t *testing.T) {
 	is := is.New(t)
 	p := newPlacer(Policy{})
@@ -129,7 +129,7 @@
 	}
 	is.True(actions <= 2*maxIneffectiveActions) // 10 minutes are two mitigation windows
 	mean, _ := p.InterferenceCoefficient("quotes", "quiet", now)
-	is.True(mean < 8)
+	is.True(mean < 8) // the coefficient of the quiet class stays below the measured slowdown
 }
 
 // TestThrottleRelease guards against throttles that stay after the interference has ended, and
--- a/internal/placer/model_test.go
+++ b/internal/placer/model_test.go
@@ -111,7 +111,7 @@
 	case Unschedulable:
 		for i := range m.workers {
 			if t.Declared.Fits(m.workers[i].Capacity) {
-				m.t.Fatalf("%s fits worker %s but got Never: %s", t.Name, m.workers[i].Name, d.Reason)
+				m.t.Fatalf("%s fits worker %s but got Unschedulable: %s", t.Name, m.workers[i].Name, d.Reason)
 			}
 		}
 	}
@@ -161,7 +161,7 @@
 	if len(w.AssignedTasks) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.AssignedTasks)-1).Draw(m.t, "resident")
+	i := rapid.IntRange(0, len(w.AssignedTasks)-1).Draw(m.t, "task")
 	m.p.TaskEnded(w.Name, w.AssignedTasks[i].Name, rapid.Bool().Draw(m.t, "failed"), m.now)
 	w.AssignedTasks = slices.Delete(w.AssignedTasks, i, i+1)
 	m.bumpVersion(w)
@@ -178,7 +178,7 @@
 	m.bumpVersion(w)
 }
 
-func (m *shardModel) relieve() {
+func (m *shardModel) mitigate() {
 	for _, r := range m.p.Mitigate(m.workers, m.now) {
 		var worker, task string
 		switch a := r.(type) {
@@ -221,7 +221,7 @@
 	}
 }
 
-// TestCapacityNeverExceeded guards against a worker that is assigned more than it can hold
+// TestCapacityNeverExceeded guards against a worker whose assigned tasks exceed its capacity
 // (guarantee 1), under late reports, wrong declared sizes, preemption, lost workers and a caller
 // that does not change Version.
 func TestCapacityNeverExceeded(t *testing.T) {
@@ -243,7 +243,7 @@
 			"deliver": func(*rapid.T) { m.deliver() },
 			"end":     func(*rapid.T) { m.end() },
 			"lose":    func(*rapid.T) { m.toggleLost() },
-			"relieve": func(*rapid.T) { m.relieve() },
+			"relieve": func(*rapid.T) { m.mitigate() },
 			"leave": func(t *rapid.T) {
 				w := &m.workers[rapid.IntRange(0, len(m.workers)-1).Draw(t, "worker")]
 				w.Leaving = !w.Leaving
--- a/internal/placer/placer.go
+++ b/internal/placer/placer.go
@@ -12,14 +12,14 @@
 const (
 	// MaxCandidates bounds the candidates listed in a decision.
 	MaxCandidates = 5
-	// minSlowdownBound is the SlowdownBound derived from measures without weight of throughput. In
-	// the evaluator a bound of 1.3 throttles a third of all batch work for little gain in latency,
-	// and a bound of 2 lowers p99 under noisy bursts only to 0.8 of the best baseline's.
+	// minSlowdownBound is the SlowdownBound derived from measures that give throughput no weight. In
+	// the evaluator, a bound of 1.3 throttles a third of all batch work for little gain in latency,
+	// and a bound of 2 lowers the p99 latency under noisy bursts only to 0.8 of the best baseline's.
 	minSlowdownBound = 1.5
-	// maxSlowdownBound is the SlowdownBound derived from measures without weight of latency.
+	// maxSlowdownBound is the SlowdownBound derived from measures that give latency no weight.
 	maxSlowdownBound = 2.5
-	// maxReportAge is the age of the last report above which a worker gets no new work: a worker
-	// that is unresponsive for this long is more likely lost than slow.
+	// maxReportAge is the age of the last report above which a worker gets no new tasks, because a
+	// worker that is unresponsive for this long is more likely lost than slow.
 	maxReportAge = 10 * time.Second
 	// scoreTolerance is the difference of scores below which two workers count as equal. The seeded
 	// random source then chooses, so that shards do not all pick the first worker.
@@ -74,6 +74,7 @@
 	return p
 }
 
+// normalise scales the measures to a sum of 1. Without any weight, all measures count equally.
 func normalise(m configurator.Measures) configurator.Measures {
 	sum := m.Latency + m.Evictions + m.Throughput
 	if sum <= 0 {
@@ -83,7 +84,7 @@
 }
 
 // Configure replaces the policy and the measures after a new configuration generation.
-// Learned coefficients, sizes and failure histories are kept.
+// The estimated coefficients and sizes and the failure histories are kept.
 func (p *Placer) Configure(policy Policy, m configurator.Measures) {
 	p.policy = policy.withDefaults(m)
 	p.measures = normalise(m)
@@ -141,8 +142,9 @@
 	return Wait{Rule: RuleNoCapacity, Reason: s.rejections()}
 }
 
-// checkFeasible returns nil if the task fits an empty worker of the shard. Otherwise it returns
-// Wait if another shard could run the task, else Unschedulable.
+// checkFeasible returns nil if the task fits an empty worker of the shard and its team's quota. It
+// returns Wait if no worker is known or only another shard has a worker that is large enough, and
+// Unschedulable if the declared size is invalid or too large.
 func (p *Placer) checkFeasible(t Task, ws []Worker) Decision {
 	d := t.Declared
 	if !(d.Cores > 0) || d.Memory < 0 || d.Accelerators < 0 {
@@ -197,7 +199,7 @@
 	return best
 }
 
-// relativeReduction returns the share by which from is reduced to to.
+// relativeReduction returns the difference between from and to as a share of from.
 func relativeReduction(from, to float64) float64 {
 	if from <= 0 {
 		return 0
--- a/internal/placer/preempt.go
+++ b/internal/placer/preempt.go
@@ -10,20 +10,23 @@
 )
 
 // Settings of preemption. An urgent task must start within 6.1 s. The first Place call chooses
-// victims at once; after victimStopTimeout other victims are chosen once, whose stop may take
-// as long again. That leaves 1.1 s for the journal write, the commands and the reports.
+// victims at once. If they still hold their capacity after victimStopTimeout (2.5 s), other victims
+// are chosen once, which may take another 2.5 s to stop. That leaves 1.1 s for the journal write,
+// the commands and the reports.
 const (
 	// PreemptGrace is the time that the caller gives victims to checkpoint and stop.
 	PreemptGrace = 2 * time.Second
-	// victimStopTimeout is the time after which a worker whose victims still hold their capacity
-	// is given up and victims on another worker are chosen.
+	// victimStopTimeout is the time after which victims on another worker are chosen because the
+	// first victims still hold their capacity.
 	victimStopTimeout = 2500 * time.Millisecond
-	// reservationTTL is how long freed capacity stays reserved for the task that preempted.
+	// reservationTTL is how long the capacity that victims free stays reserved for the task that
+	// preempted them.
 	reservationTTL = 6 * time.Second
 	// maxVictims bounds the number of tasks preempted for one task.
 	maxVictims = 8
-	// fullLossRunTime is the run time from which stopping a task costs the full amount of lost
-	// work. It is long because the checkpoint keeps most of the work.
+	// fullLossRunTime is the run time from which stopping a task counts with the full cost of lost
+	// work. Below it, the cost is proportional to the run time. It is long because the checkpoint
+	// keeps most of the work.
 	fullLossRunTime = time.Hour
 	// urgentThrottleCostFactor is the factor on the cost of throttling an urgent batch task.
 	urgentThrottleCostFactor = 4
@@ -79,17 +82,17 @@
 func (p *Placer) victimCost(r *AssignedTask, now time.Time) float64 {
 	lostShare := min(1, float64(now.Sub(r.Started))/float64(fullLossRunTime))
 	evictionFactor := 1 + 0.5*float64(max(0, r.Attempt-1)) // a job that was evicted before costs more
-	// The constant keeps the cost above 0 if the weights are 0, so that fewer victims are
-	// preferred.
+	// The constant 0.01 keeps the cost above 0 if the weights are 0, so that a choice of fewer
+	// victims costs less.
 	return 0.01 + p.measures.Evictions*evictionFactor + p.measures.Throughput*max(0, lostShare)*r.Declared.Cores
 }
 
 // preemptible is a batch task on the worker under consideration that may be preempted.
 type preemptible struct {
-	resident int
-	size     configurator.Resources
-	cost     float64
-	chosen   bool
+	taskIndex int
+	size      configurator.Resources
+	cost      float64
+	chosen    bool
 }
 
 // preemptionPlan is a choice of victims on one worker.
@@ -110,8 +113,8 @@
 		if r.pending(ws, now) {
 			return Wait{Rule: RuleVictimsStopping, Reason: fmt.Sprintf("victims on worker %s have not ended yet", r.worker)}
 		}
-		// Either the victims have ended and other tasks on the worker grew into the freed
-		// capacity, or the worker did not stop its tasks in time.
+		// Either the victims have ended and other tasks on the worker use the freed capacity, or
+		// the worker did not stop its tasks in time.
 		if now.Sub(r.created) >= victimStopTimeout {
 			excluded = r.worker
 		}
@@ -168,11 +171,12 @@
 	return plans[:min(len(plans), MaxCandidates)]
 }
 
-// planVictims marks the assigned tasks of a worker in p.preemptibles whose end frees enough capacity
-// for the task, and returns their cost. It takes them in order of cost per share of the missing
-// capacity and then leaves out those that turn out not to be needed. Tasks that are already
-// stopping count as gone at no cost. It returns false if there are too few victims, if their
-// cost is not below limit, or if the worker is overdue to stop a task.
+// planVictims chooses victims on a worker whose end frees enough capacity for the task. It marks
+// them as chosen in p.preemptibles and returns their cost. It chooses tasks in order of cost per
+// share of the missing capacity and then removes the ones that turn out not to be needed. Tasks
+// that are already stopping count as ended at no cost. It returns false if no choice of at most
+// maxVictims tasks frees enough capacity, if the cost is not below limit, or if the worker is
+// overdue to stop a task.
 func (p *Placer) planVictims(s *search, index int, limit float64) (float64, bool) {
 	w := &s.ws[index]
 	free, _ := s.freeCapacity(index)
@@ -186,8 +190,7 @@
 		r := &w.AssignedTasks[i]
 		if r.Stopping {
 			if s.now.Sub(r.LastAction) > victimStopTimeout {
-				// The worker does not stop its tasks within victimStopTimeout.
-				return 0, false
+				return 0, false // the worker is overdue to stop this task
 			}
 			free = free.Add(p.freedSize(r))
 			continue
@@ -195,7 +198,7 @@
 		if r.Kind == KindBatch && !r.Urgent {
 			cost := p.victimCost(r, s.now)
 			cheapest = min(cheapest, cost)
-			p.preemptibles = append(p.preemptibles, preemptible{resident: i, size: p.freedSize(r), cost: cost})
+			p.preemptibles = append(p.preemptibles, preemptible{taskIndex: i, size: p.freedSize(r), cost: cost})
 		}
 	}
 	if !need.Fits(free) && cheapest >= limit {
@@ -219,8 +222,8 @@
 	return cost, cost < limit
 }
 
-// chooseVictims marks preemptible tasks until need fits, and returns the free capacity that
-// results.
+// chooseVictims marks preemptible tasks as chosen until need fits into the free capacity. It
+// returns the free capacity that results and whether need fits into it.
 func (p *Placer) chooseVictims(need, free configurator.Resources) (configurator.Resources, bool) {
 	for n := 0; !need.Fits(free); n++ {
 		missing := need.Sub(free)
@@ -252,7 +255,7 @@
 	var out []int
 	for i := range p.preemptibles {
 		if p.preemptibles[i].chosen {
-			out = append(out, p.preemptibles[i].resident)
+			out = append(out, p.preemptibles[i].taskIndex)
 		}
 	}
 	return out
--- a/internal/placer/search.go
+++ b/internal/placer/search.go
@@ -31,7 +31,7 @@
 }
 
 // Terms of the score, which is in units of slowdown. The costs per member of the task's spread group
-// exceed the usual interference, so that spreading takes precedence.
+// are larger than the usual interference, so that spreading takes precedence over it.
 const (
 	// sameWorkerCost is added per member of the spread group on the same worker.
 	sameWorkerCost = 16
@@ -39,12 +39,12 @@
 	sameRackCost = 4
 	// sameDomainCost is added per member of the spread group in the same failure domain.
 	sameDomainCost = 1
-	// balanceWeight is the weight of the free share of cores. Among workers with equal interference
-	// it makes the one with fewer free cores preferable for batch tasks and the one with more for
-	// service instances.
+	// balanceWeight is the weight of the free share of cores. Among workers with equal interference,
+	// batch tasks go to the worker with fewer free cores and service instances to the worker with
+	// more.
 	balanceWeight = 0.1
 	// failureRateTiers is the number of tiers into which workers are divided by recent failure
-	// rate. A worker of a lower tier is preferred whatever its score.
+	// rate. A worker of a lower tier is preferred regardless of its score.
 	failureRateTiers = 4
 )
 
@@ -57,10 +57,10 @@
 	class        int
 	expectedSize configurator.Resources
 	rule         Rule
-	reservation  *reservation // of the task
+	reservation  *reservation // capacity that is reserved for the task, or nil
 	ranked       [MaxCandidates]ranked
-	count        int
-	ties         int
+	count        int // of inserted workers; ranked holds the best of them
+	ties         int // number of workers that are as good as ranked[0], including it
 	rejected     [rejectReasonCount]int
 	effectOn     [maxClasses]float64 // by class: coefficient of the effect of the task on assigned tasks
 	effectFrom   [maxClasses]float64 // by class: coefficient of the effect of assigned tasks on the task
@@ -189,14 +189,15 @@
 }
 
 // sizeOn returns the capacity that the task needs on worker i: its expected size, limited to the
-// capacity that the worker's service instances leave. Without the limit, a task whose expected size
-// exceeds it could never start.
+// capacity that the worker's service instances leave, but at least its declared size. Without the
+// limit, a task whose expected size is larger than any worker offers could never start.
 func (s *search) sizeOn(i int) configurator.Resources {
 	available := s.ws[i].Capacity.Sub(s.p.workerSummaries[i].committedToServices)
 	return s.t.Declared.Max(minResources(s.expectedSize, available))
 }
 
-// verifyFit sums the assigned tasks of worker i anew and reports whether the task fits.
+// verifyFit reports whether the task fits worker i, without the summaries: it sums up the worker's
+// assigned tasks.
 func (s *search) verifyFit(i int) bool {
 	w := &s.ws[i]
 	total := s.t.Declared
@@ -260,8 +261,8 @@
 	return r
 }
 
-// insert adds r to the ranked workers, of which the best MaxCandidates are kept. Among equally good
-// workers the seeded random source chooses the first.
+// insert adds r to the ranked workers and keeps the best MaxCandidates of them. Among the workers
+// that share the best rank, the seeded random source chooses the one that is listed first.
 func (s *search) insert(r ranked) {
 	n := min(s.count, MaxCandidates)
 	at := n
@@ -295,7 +296,7 @@
 	return a.tier == b.tier && a.score <= b.score+scoreTolerance && b.score <= a.score+scoreTolerance
 }
 
-// top returns the best workers as candidates of a decision.
+// top returns the best workers, in order of rank, as candidates of a decision.
 func (s *search) top() []Candidate {
 	out := make([]Candidate, min(s.count, MaxCandidates))
 	for i := range out {
@@ -306,7 +307,7 @@
 	return out
 }
 
-// rejections returns the number of workers by reason for rejection.
+// rejections returns a text with the number of rejected workers for each reason.
 func (s *search) rejections() string {
 	var b strings.Builder
 	for reason, n := range s.rejected {
--- a/internal/placer/summary.go
+++ b/internal/placer/summary.go
@@ -7,7 +7,7 @@
 	class         int
 	cores         float64 // cores in use
 	serviceWeight float64 // number of service instances, each weighted by its slowdown
-	batchWeight   float64 // share of the worker's cores used by batch tasks, weighted by the progress lost per slowdown
+	batchWeight   float64 // share of the worker's cores used by batch tasks, each weighted by the progress that it loses per added slowdown
 }
 
 // teamUsage is the capacity that a team's batch tasks hold on a worker.
@@ -23,7 +23,7 @@
 }
 
 // workerSummary holds sums over a worker's assigned tasks. It is reused while the worker's Version
-// stays the same, because summing 17,000 assigned tasks in each Place took most of its time.
+// stays the same, because summing up 17,000 assigned tasks takes most of the time of a Place call.
 type workerSummary struct {
 	name                string
 	version             uint64
@@ -36,8 +36,8 @@
 	spreads             []spreadCount
 }
 
-// degradedWeight is the additional weight of a service instance per unit of excess slowdown:
-// near saturation, latency rises faster than slowdown.
+// degradedWeight is the additional weight of a service instance per unit of excess slowdown. The
+// weight rises with the slowdown because, near saturation, latency rises faster than slowdown.
 const degradedWeight = 2
 
 // committedSize returns the capacity that counts as taken by r. A task without a measurement counts
@@ -50,7 +50,8 @@
 	return out.Max(p.estimator.expectedSize(p.estimator.classIndex(r.Class), r.Declared))
 }
 
-// usedCores returns the measured cores of r, or else the declared cores within its throttle.
+// usedCores returns the measured cores of r or, without a measurement, the declared cores limited by
+// its throttle.
 func (r *AssignedTask) usedCores() float64 {
 	if r.Measured.Cores > 0 {
 		return r.Measured.Cores
@@ -150,8 +151,8 @@
 	return 0
 }
 
-// intern returns a small number that identifies a name. The table does not grow without bound,
-// because names come from the configuration.
+// intern returns the number that the table assigns to a name. The table does not grow without bound,
+// because the names come from the configuration.
 func intern(table map[string]int32, name string) int32 {
 	n, ok := table[name]
 	if !ok {
--- a/internal/placer/types.go
+++ b/internal/placer/types.go
@@ -20,7 +20,7 @@
 	Kind     string // KindBatch or KindService
 	Urgent   bool
 	Declared configurator.Resources
-	Spread   string // spread group: its members are placed on different racks and failure domains; may be empty
+	Spread   string // spread group, or empty: its members are placed on different racks and failure domains if possible
 	Attempt  int    // number of this attempt; 0 or 1 is the first
 }
 
@@ -185,8 +185,9 @@
 func (Checkpoint) mitigation() {}
 func (Stop) mitigation()       {}
 
-// Margins of CommittedResources: shares by which usage may grow until the next report arrives. Too few cores
-// slow tasks down, but too little memory kills them, so memory has the larger margin.
+// Margins of CommittedResources, as shares of the measured usage: usage may grow by as much until the
+// next report arrives. Memory has the larger margin, because too few cores only slow tasks down but
+// too little memory kills them.
 const (
 	coreMarginShare   = 0.05
 	memoryMarginShare = 0.10
