--- a/internal/lessor/lease.go
+++ b/internal/lessor/lease.go
@@ -15,10 +15,10 @@
 // length plus 50 ms.
 func Margin(ttl time.Duration) time.Duration { return ttl/clockDriftDivisor + fixedMargin }
 
-// Lease is the lease of an owner on its shard. It is extended by renewals in the store, or by
-// promises of all possible successors not to claim the shard.
+// Lease is the lease of an owner on its shard. It is extended by each renewal in the store, and by
+// promises not to claim the shard if all possible successors have given one.
 type Lease struct {
-	ttl         time.Duration
+	ttl         time.Duration        // length of the lease before Margin is subtracted
 	lastRenewal time.Time            // when the last successful renewal was sent
 	promises    map[string]time.Time // by possible successor: when the answered heartbeat was sent
 }
@@ -50,8 +50,8 @@
 	}
 }
 
-// RecordPromise records the promise of a possible successor in answer to a heartbeat that was sent at
-// sentAt. Promises of other hosts are ignored.
+// RecordPromise records a promise that a possible successor gave in its answer to a heartbeat. The
+// heartbeat was sent at sentAt. Promises of other hosts are ignored.
 func (t *Lease) RecordPromise(by string, sentAt time.Time) {
 	if last, ok := t.promises[by]; ok && sentAt.After(last) {
 		t.promises[by] = sentAt
@@ -70,8 +70,8 @@
 	return from.Add(t.ttl - Margin(t.ttl))
 }
 
-// earliestPromise returns the earliest of the last promises of all possible successors, or the zero
-// time if one of them has not promised.
+// earliestPromise compares the latest promises of all possible successors and returns the time of the
+// earliest one. It returns the zero time if a successor has not promised or there is no successor.
 func (t *Lease) earliestPromise() time.Time {
 	var earliest time.Time
 	first := true
@@ -83,5 +83,5 @@
 	return earliest
 }
 
-// Valid reports whether the owner may act at now.
+// Valid reports whether the lease is valid at now, so that the owner may act on the shard.
 func (t *Lease) Valid(now time.Time) bool { return now.Before(t.Expiry()) }
--- a/internal/lessor/lessor_test.go
+++ b/internal/lessor/lessor_test.go
@@ -28,8 +28,8 @@
 
 func at(d time.Duration) time.Time { return testStart.Add(d) }
 
-// TestLease guards against an owner that counts on a renewal, or on promises of only some
-// successors, for longer than its successors wait.
+// TestLease guards against a lease that lasts longer than the successors wait after a renewal, and
+// against a lease that is extended by promises of only some successors.
 func TestLease(t *testing.T) {
 	is := is.New(t)
 	o := lessor.NewLease(ttl, []string{"b", "c"}, at(0))
@@ -81,13 +81,13 @@
 	is.True(restarted.MayClaim("x", at(13*time.Second)))
 }
 
-// heartbeat is a heartbeat in transit. The fields are the steps at which it is sent, arrives at the
-// successor, and is answered to the owner.
+// heartbeat is a heartbeat in transit. The fields are the steps at which it is sent, at which it
+// arrives at the successor, and at which the answer arrives at the owner.
 type heartbeat struct{ sent, arrives, answered int }
 
 // TestOwnersNeverOverlap guards against a successor that may claim a shard while the owner may still
-// act on it, whatever the delays of heartbeats and reads, the availability of the store and a drift
-// below 1% between the clocks.
+// act on it. It varies the delays of heartbeats and reads, the availability of the store and the
+// drift between the clocks, which stays below 1%.
 func TestOwnersNeverOverlap(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const step, steps, hosts = 50 * time.Millisecond, 400, 3
--- a/internal/lessor/successor.go
+++ b/internal/lessor/successor.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Version identifies the state of a shard's journal that a successor read. If two versions are
-// equal, the owner has not renewed its lease between the two reads.
+// Version identifies the state of a shard's journal. If a successor reads the same Version twice,
+// the owner has not renewed its lease between the two reads.
 type Version struct {
 	Epoch    uint64
 	Renewal  uint64
@@ -21,8 +21,8 @@
 
 // shardView is what a successor has read and promised for one shard.
 type shardView struct {
-	version       Version
-	read          bool
+	version       Version   // last version read
+	read          bool      // a version has been read
 	firstRead     time.Time // when version was first read
 	highestEpoch  uint64    // highest epoch read or promised to
 	promisedUntil time.Time // end of the last promise
@@ -46,10 +46,10 @@
 	return v
 }
 
-// Promise asks for a promise not to claim the shard for one TTL from now and reports whether it is
-// given. It is refused to an owner whose epoch is lower than one read or promised to, and while a
-// claim by this host may still take effect. A promise holds for the shard in any epoch, not only in
-// the one that is passed.
+// Promise gives a promise not to claim the shard for one TTL from now, or returns false if it is
+// refused. A promise is refused to an owner whose epoch is lower than one that this host has read
+// or given a promise for, and while a claim by this host may still take effect. A promise excludes
+// claims of the shard in any epoch, not only in the one that is passed.
 func (s *Successor) Promise(shard string, epoch uint64, now time.Time) bool {
 	c := s.shard(shard)
 	if c.claimPending || epoch < c.highestEpoch {
@@ -70,9 +70,9 @@
 	c.version, c.read, c.firstRead = v, true, now
 }
 
-// MayClaim reports whether a claim may be sent at now. The journal must not have changed for one TTL
-// since this host first read the present version, no promise may be in effect, the process must have
-// run for one TTL, and no earlier claim may be unresolved.
+// MayClaim reports whether a claim may be sent at now. Four conditions must be met: this host first
+// read the current version of the journal at least one TTL ago, no promise is in effect, the process
+// has run for one TTL, and no earlier claim is unresolved.
 func (s *Successor) MayClaim(shard string, now time.Time) bool {
 	c := s.shard(shard)
 	return c.read && !c.claimPending &&
@@ -81,10 +81,10 @@
 		!now.Before(c.promisedUntil)
 }
 
-// MayClaimReleased is like MayClaim for a journal in which the owner has recorded that it gave up
-// the shard: it does not wait for the owner's lease to end. The process must still have run for one
-// TTL, because an earlier process may have given a promise to a later owner. Promises of this
-// process are not checked.
+// MayClaimReleased is like MayClaim, but for a journal in which the owner has recorded that it
+// released the shard. It does not wait for the owner's lease to end. The process must still have run
+// for one TTL, because an earlier process may have given a promise to a later owner. Promises of
+// this process are not checked.
 func (s *Successor) MayClaimReleased(shard string, now time.Time) bool {
 	c := s.shard(shard)
 	return c.read && !c.claimPending && !now.Before(s.processStart.Add(s.ttl))
