--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -16,27 +16,27 @@
 
 // Kinds of decisions.
 const (
-	KindPlace         Kind = "place"
-	KindWait          Kind = "wait"
-	KindUnschedulable Kind = "never"
-	KindPreempt       Kind = "preempt"
-	KindEvict         Kind = "evict"
-	KindThrottle      Kind = "throttle"
-	KindRelease       Kind = "release"
-	KindMove          Kind = "move"
-	KindStop          Kind = "stop"
-	KindRefuse        Kind = "refuse"
-	KindRetry         Kind = "retry"
-	KindRoute         Kind = "route"
-	KindClaim         Kind = "claim"
-	KindAdopt         Kind = "adopt"
-	KindQuarantine    Kind = "quarantine"
-	KindProbe         Kind = "probe"
-	KindReturn        Kind = "return"
-	KindDrain         Kind = "drain"
-	KindCancel        Kind = "cancel"
-	KindEject         Kind = "eject"
-	KindForward       Kind = "forward"
+	KindPlace         Kind = "place"      // a task is assigned to a worker
+	KindWait          Kind = "wait"       // a task stays pending
+	KindUnschedulable Kind = "never"      // a job can never run as declared or has failed too often
+	KindPreempt       Kind = "preempt"    // tasks are chosen as victims for an urgent task or a service instance
+	KindEvict         Kind = "evict"      // a batch task is checkpointed and stopped
+	KindThrottle      Kind = "throttle"   // the limit of a batch task changes, also when a throttle is released
+	KindRelease       Kind = "release"    // no decision has this kind at present
+	KindMove          Kind = "move"       // no decision has this kind at present
+	KindStop          Kind = "stop"       // no decision has this kind at present
+	KindRefuse        Kind = "refuse"     // a request ends without being sent, or a worker refuses a start or an owner with a lower epoch
+	KindRetry         Kind = "retry"      // a job becomes pending again after a lost or ended run, or a failed request is retried or not
+	KindRoute         Kind = "route"      // a request is sent to a service instance
+	KindClaim         Kind = "claim"      // the owner of a shard changes, or its jobs are imported
+	KindAdopt         Kind = "adopt"      // a worker accepts the owner's epoch, or a task started by an earlier owner is found
+	KindQuarantine    Kind = "quarantine" // no decision has this kind at present
+	KindProbe         Kind = "probe"      // no decision has this kind at present
+	KindReturn        Kind = "return"     // no decision has this kind at present
+	KindDrain         Kind = "drain"      // a service instance is to be replaced or removed
+	KindCancel        Kind = "cancel"     // a job is cancelled
+	KindEject         Kind = "eject"      // no decision has this kind at present
+	KindForward       Kind = "forward"    // a request is sent to another failure domain
 )
 
 // knownKinds lists the values of the counter's kind label.
@@ -84,22 +84,24 @@
 type Options struct {
 	MaxRecords int
 	MaxBytes   int64
-	// MaxReasons limits the number of values of the counter's reason label.
+	// MaxReasons limits the number of rules that are values of the counter's reason label.
 	MaxReasons int
 }
 
-// Defaults of Options. At 500 decisions per second, 16 MiB hold the placements of about one
-// minute. The latest decision about an unfinished job is also in the journal of its shard.
+// Defaults of Options. A record takes at least recordBytes (512), so that at 500 decisions per
+// second 16 MiB hold at most the decisions of about one minute. The latest decision about an
+// unfinished job is also in the journal of its shard.
 const (
 	DefaultMaxRecords = 40_000
 	DefaultMaxBytes   = 16 << 20
 	DefaultMaxReasons = 64
 )
 
-// Limits of one record and the label value for unknown kinds and surplus reasons.
+// Limits of one record, and the label value that stands for unknown kinds and for rules beyond
+// Options.MaxReasons.
 const (
 	maxCandidates    = 16
-	maxFigures       = 16
+	maxFigures       = 16   // of one candidate
 	maxTextBytes     = 1024 // of Cause and of Outcome
 	maxIdentityBytes = 256  // of an identity, of Rule and of SignedBy
 	otherLabel       = "other"
@@ -117,7 +119,7 @@
 	ring      []Record
 	heldBytes int64
 	index     map[string][]uint64 // IDs by identity, in ascending order
-	reasons   map[string]bool
+	reasons   map[string]bool     // rules used as values of the reason label
 }
 
 // New returns a Recorder that logs to log and registers its counter in registry. The
@@ -186,8 +188,8 @@
 	return rule
 }
 
-// insert stores a record and evicts the oldest ones to stay within the limits. A record that
-// alone exceeds MaxBytes is not stored. The caller holds mu.
+// insert stores a record and evicts the oldest records to stay within the limits. A record that is
+// larger than MaxBytes evicts all others and is not stored itself. The caller holds mu.
 func (r *Recorder) insert(d Record) {
 	size := d.size()
 	for r.oldestID < r.nextID && (r.nextID-r.oldestID >= uint64(r.options.MaxRecords) || r.heldBytes+size > r.options.MaxBytes) {
@@ -231,7 +233,7 @@
 			delete(r.index, id)
 			continue
 		}
-		// Copying when most of the array is unused frees the memory of evicted IDs.
+		// If most of the array is unused, a copy frees the memory of evicted IDs.
 		if ids = ids[1:]; cap(ids) > 4*len(ids) {
 			ids = append([]uint64(nil), ids...)
 		}
@@ -287,8 +289,8 @@
 	figureBytes    = 24
 )
 
-// size estimates the memory that a record uses. Identities count twice, because the index holds
-// them too.
+// size estimates the memory that a record uses. The identities count twice, because the index also
+// holds them.
 func (d *Record) size() int64 {
 	n := recordBytes + 2*(len(d.Job)+len(d.Task)+len(d.Worker)+len(d.Request)+len(d.Subject)) + len(d.Cause) + len(d.Rule) + len(d.Outcome) + len(d.SignedBy)
 	for i := range d.Candidates {
--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -68,8 +68,8 @@
 	})
 }
 
-// TestCounterLabelsAreBounded guards against one time series per kind and rule name if callers
-// use names without limit.
+// TestCounterLabelsAreBounded guards against a number of time series that grows with the number of
+// kinds and rules that callers use.
 func TestCounterLabelsAreBounded(t *testing.T) {
 	is := is.New(t)
 	r, registry, remove := newRecorder(t, Options{MaxReasons: 5}, &bytes.Buffer{})
