--- a/internal/registrar/registrar.go
+++ b/internal/registrar/registrar.go
@@ -21,11 +21,11 @@
 	// without interruption before it counts as live again. The list lags and may flap; a host
 	// that counted as live too early would get new work while it is leaving.
 	LiveConfirmationTime = 60 * time.Second
-	// maxNotices limits the number of stored notices to about twice the number of hosts
+	// maxNotices limits the number of stored notices. It is about twice the number of hosts
 	// expected in two years.
 	maxNotices = 4096
-	// maxWithdrawnNotices limits the number of stored notices about hosts that are live again.
-	// Without a limit, 380 restarts in a day added 25 KB to each heartbeat.
+	// maxWithdrawnNotices limits the number of stored notices about hosts that are no longer
+	// leaving. Without a limit, 380 restarts in a day add 25 KB to each heartbeat.
 	maxWithdrawnNotices = 100
 )
 
@@ -49,7 +49,7 @@
 	mu            sync.Mutex
 	peers         map[string]peer
 	notices       map[noticeKey]messenger.HostNotice
-	liveSince     map[string]time.Time // since when the list reports a leaving host as live
+	liveSince     map[string]time.Time // since when the platform's list reports a leaving host as live
 	listedLeaving map[string]bool      // hosts that are leaving according to the latest list
 	withdrawn     []noticeKey          // keys of withdrawn notices, oldest first
 }
@@ -64,21 +64,21 @@
 	}
 }
 
-// RecordIdentity records the identity of the sender of a heartbeat or of an answer to one, with its
-// notices about leaving hosts. It returns the hosts that count as leaving now and did not
-// before.
+// RecordIdentity records the identity of the sender of a heartbeat or of an answer to a heartbeat,
+// and merges its notices about leaving hosts. It returns the hosts that count as leaving now and did
+// not before.
 func (r *Registrar) RecordIdentity(m messenger.Identity, now time.Time) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	previous, known := r.peers[m.Host]
-	died := previous.crashedAt
+	crashedAt := previous.crashedAt
 	if known && previous.identity.Incarnation != m.Incarnation {
 		r.withdrawOwnNotice(m.Host)
 		if !previous.identity.Drained {
-			died = previous.lastHeartbeat
+			crashedAt = previous.lastHeartbeat
 		}
 	}
-	r.peers[m.Host] = peer{identity: m, lastHeartbeat: now, crashedAt: died}
+	r.peers[m.Host] = peer{identity: m, lastHeartbeat: now, crashedAt: crashedAt}
 	var added []string
 	if m.Leaving && r.setNotice(m.Host, messenger.SourceHost, true) {
 		added = append(added, m.Host)
@@ -142,15 +142,16 @@
 	return was != r.isLeaving(host)
 }
 
-// withdrawOwnNotice withdraws the notice of an earlier process of the host that it was leaving.
+// withdrawOwnNotice withdraws the notice in which an earlier process of the host said that the host
+// was leaving.
 func (r *Registrar) withdrawOwnNotice(host string) {
 	if n, ok := r.notices[noticeKey{host, messenger.SourceHost}]; ok && n.Leaving {
 		r.setNotice(host, messenger.SourceHost, false)
 	}
 }
 
-// setNotice records a notice that originates here, with the next version. It reports whether
-// the host counts as leaving now and did not before.
+// setNotice records a notice that originates at this entry host, with the next version. It reports
+// whether the host that the notice is about counts as leaving now and did not before.
 func (r *Registrar) setNotice(host string, source messenger.NoticeSource, leaving bool) bool {
 	key := noticeKey{host, source}
 	old, ok := r.notices[key]
@@ -166,16 +167,17 @@
 // higher version wins, and in a tie the notice that says leaving.
 func (r *Registrar) mergeNotice(n messenger.HostNotice) {
 	old, ok := r.notices[noticeKey{n.Host, n.Source}]
-	// A withdrawn notice that was evicted here must not return from a peer that still has
-	// it.
+	// A withdrawn notice that this entry host has evicted must not be added again by a peer that
+	// still has it.
 	if !ok && !n.Leaving {
 		return
 	}
 	if ok && (n.Version < old.Version || n.Version == old.Version && old.Leaving) {
 		return
 	}
-	// The peer may have withdrawn the platform's notice because of an older host list than
-	// this host's. The higher version makes the notice prevail on all entry hosts.
+	// The peer may have withdrawn the platform's notice because of a host list that is older than
+	// the list that this host has read. The higher version makes the notice that says leaving
+	// prevail on all entry hosts.
 	if n.Source == messenger.SourcePlatform && !n.Leaving && r.listedLeaving[n.Host] {
 		n.Leaving = true
 		n.Version++
@@ -198,13 +200,15 @@
 	for len(r.withdrawn) > maxWithdrawnNotices {
 		oldest := r.withdrawn[0]
 		r.withdrawn = r.withdrawn[1:]
-		// A notice that says leaving again must stay, or its host would get new work.
+		// A notice that says leaving again must stay, because its host would otherwise get new
+		// work.
 		if !r.notices[oldest].Leaving && !slices.Contains(r.withdrawn, oldest) {
 			delete(r.notices, oldest)
 		}
 	}
 }
 
+// isLeaving is Leaving for callers that hold mu.
 func (r *Registrar) isLeaving(host string) bool {
 	for _, s := range []messenger.NoticeSource{messenger.SourcePlatform, messenger.SourceOperator, messenger.SourceHost} {
 		if r.notices[noticeKey{host, s}].Leaving {
@@ -294,8 +298,8 @@
 	return ok && now.Sub(p.lastHeartbeat) < HeartbeatTimeout
 }
 
-// RemainingRequestTime returns how much longer requests of an earlier process of the host may run,
-// provided that each ends within limit after the last heartbeat of that process.
+// RemainingRequestTime returns how much longer requests of a crashed process of the host may run,
+// provided that each of them ends within limit after the last heartbeat of that process.
 func (r *Registrar) RemainingRequestTime(host string, limit time.Duration, now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/registrar/registrar_test.go
+++ b/internal/registrar/registrar_test.go
@@ -74,10 +74,10 @@
 	is.True(!r.Alive("e1", now.Add(HeartbeatTimeout)))
 }
 
-// Guards against entry hosts that never agree on the leaving hosts: after any marks and any
-// order of heartbeats, exchanges between all pairs make their views equal. Also guards against
-// an operator's mark that does not take effect at once on the host that receives it: the
-// latest command that knew of the earlier ones must win.
+// Guards against entry hosts that never agree on the leaving hosts. After any commands of
+// operators and any order of heartbeats, exchanges between all pairs must make the lists of
+// leaving hosts equal. Also guards against an operator's command that does not take effect at once
+// on the entry host that receives it: it must take precedence over all notices that this host has.
 func TestExchangedNoticesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
@@ -137,7 +137,7 @@
 
 // Guards against a restarted entry host that overloads backend servers, which still run
 // requests of its crashed process.
-func TestLeftBehindAfterRestart(t *testing.T) {
+func TestRemainingRequestTimeAfterRestart(t *testing.T) {
 	is := is.New(t)
 	r, now := New(), time.Unix(0, 0)
 	r.RecordIdentity(messenger.Identity{Host: "e1", Incarnation: "a"}, now)
