--- a/internal/shardowner/shardowner.go
+++ b/internal/shardowner/shardowner.go
@@ -92,7 +92,7 @@
 	Endpoints() []messenger.Endpoint
 	// Shards returns the state of all configured shards, sorted by name.
 	Shards() []ShardStatus
-	// Release writes to the store that this host gives up its shards, so that their
+	// Release releases the owned shards by a write of their journals, so that their
 	// successors need not wait for the leases to end.
 	Release(ctx context.Context) error
 }
@@ -550,7 +550,7 @@
 	return ss
 }
 
-// Release writes to the store that this host gives up its shards, so that their successors
+// Release releases the owned shards by a write of their journals, so that their successors
 // need not wait for the leases to end. This process claims no shard afterwards.
 func (p *Owner) Release(ctx context.Context) error {
 	p.mutex.Lock()
