--- a/internal/scheduler/instance.go
+++ b/internal/scheduler/instance.go
@@ -53,7 +53,7 @@
 	return want
 }
 
-// reconcile adds missing instances and retires those that are no longer desired.
+// reconcile adds missing instances and retires instances that are no longer desired.
 func (s *Shard) reconcile(now time.Time) {
 	if s.phase != phaseOwned || s.config == nil {
 		return
--- a/internal/scheduler/writing.go
+++ b/internal/scheduler/writing.go
@@ -145,7 +145,7 @@
 }
 
 // withdrawSubmission removes a job whose submission was not accepted. No start was sent
-// for it, because a start command waits until the stored journal lists the job.
+// for the job, because a start command waits until the stored journal lists the job.
 func (s *Shard) withdrawSubmission(t *task) {
 	s.clearAssignment(t)
 	delete(s.tasks, t.Spec.Name)
