--- a/internal/placer/estimator.go
+++ b/internal/placer/estimator.go
@@ -143,7 +143,8 @@
 	return mean + uncertaintySigmas*sigma
 }
 
-// acceptReport reports whether a report is newer than the last one used, and marks it as used.
+// acceptReport reports whether a report is newer than the last one used of the worker. If so, the
+// report counts as used.
 func (e *estimator) acceptReport(worker string, measuredAt time.Time) bool {
 	last, ok := e.lastReports[worker]
 	if ok && !measuredAt.After(last) {
--- a/internal/placer/failures.go
+++ b/internal/placer/failures.go
@@ -35,7 +35,7 @@
 	consecutiveFailedJobs []string // different jobs that failed since the last success
 	failed, ended         float64  // recent ends, decayed over failureWindow
 	updatedAt             time.Time
-	quarantinedUntil      time.Time // a probe is due from then on; zero if not quarantined
+	quarantinedUntil      time.Time // a probe may be placed from then on; zero if not quarantined
 	quarantineDuration    time.Duration
 	probeTask             string // task of the running probe
 	probeStarted          time.Time
--- a/internal/placer/headroom.go
+++ b/internal/placer/headroom.go
@@ -16,10 +16,11 @@
 	urgentSizeRetention = time.Hour
 )
 
-// urgentHeadroom is the headroom that one worker keeps: the largest recent urgent task.
+// urgentHeadroom is the headroom that one worker keeps: the size of the largest recent urgent batch
+// task.
 type urgentHeadroom struct {
 	size       configurator.Resources
-	lastUrgent time.Time // when Place was last called for an urgent task
+	lastUrgent time.Time // when Place was last called for an urgent batch task
 }
 
 // recordUrgentSize adjusts the headroom to the size of an urgent batch task.
--- a/internal/placer/mitigation.go
+++ b/internal/placer/mitigation.go
@@ -61,7 +61,7 @@
 	checkpointed time.Time // last checkpoint action
 }
 
-// move is a move of a task away from a worker, to which it does not return before until.
+// move is a move of a task away from a worker. The task is not placed on that worker before until.
 type move struct {
 	worker string
 	until  time.Time
--- a/internal/placer/preempt.go
+++ b/internal/placer/preempt.go
@@ -25,8 +25,8 @@
 	// maxVictims bounds the number of tasks preempted for one task.
 	maxVictims = 8
 	// fullLossRunTime is the run time from which stopping a task counts with the full cost of lost
-	// work. Below it, the cost is proportional to the run time. It is long because the checkpoint
-	// keeps most of the work.
+	// work. Below it, the cost is proportional to the run time. The value is high because the
+	// checkpoint keeps most of the work.
 	fullLossRunTime = time.Hour
 	// urgentThrottleCostFactor is the factor on the cost of throttling an urgent batch task.
 	urgentThrottleCostFactor = 4
--- a/internal/placer/types.go
+++ b/internal/placer/types.go
@@ -48,12 +48,12 @@
 	MeasuredAt    time.Time // measurement time of the last report, in the caller's clock
 	Leaving       bool
 	Quarantined   bool // by the caller; the placer quarantines workers itself as well
-	EpochAccepted bool // the worker has accepted the owner's epoch; otherwise it gets no work
+	EpochAccepted bool // the worker has accepted the owner's epoch; otherwise it gets no tasks
 
 	// Version changes whenever any other field but MeasuredAt changes. Place reuses sums
 	// over AssignedTasks while it stays the same; 0 recomputes them in each call. The chosen
 	// worker's capacity is always checked without these sums, so a stale Version can lead to
-	// a worse choice but never exceeds capacity.
+	// a worse choice but never to a worker whose capacity is exceeded.
 	Version uint64
 }
 
@@ -104,7 +104,7 @@
 	Name         string
 	Free         configurator.Resources // of a worker
 	Score        float64                // lower is better
-	Interference float64                // estimated sum of slowdowns added by the task and to it
+	Interference float64                // estimated sum of the slowdowns that the task adds to other tasks and they add to it
 	FailureRate  float64                // recent share of failed tasks on a worker
 	Age          time.Duration          // of the worker's report
 	Rejected     string                 // reason why it was not eligible, empty if it was
