--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -20,7 +20,7 @@
 	KindWait          Kind = "wait"       // a task stays pending
 	KindUnschedulable Kind = "never"      // a job can never run as declared or has failed too often
 	KindPreempt       Kind = "preempt"    // tasks are chosen as victims for an urgent task or a service instance
-	KindEvict         Kind = "evict"      // a batch task is checkpointed and stopped
+	KindEvict         Kind = "evict"      // a batch task is evicted from its worker
 	KindThrottle      Kind = "throttle"   // the limit of a batch task changes, also when a throttle is released
 	KindRelease       Kind = "release"    // no decision has this kind at present
 	KindMove          Kind = "move"       // no decision has this kind at present
