--- a/internal/placer/types.go
+++ b/internal/placer/types.go
@@ -20,7 +20,7 @@
 	Kind     string // KindBatch or KindService
 	Urgent   bool
 	Declared configurator.Resources
-	Spread   string // spread group: its members are placed on different racks and failure domains; may be empty
+	Spread   string // spread group, or empty: its members are placed on different racks and failure domains if possible
 	Attempt  int    // number of this attempt; 0 or 1 is the first
 }
 
@@ -48,12 +48,12 @@
 	MeasuredAt    time.Time // measurement time of the last report, in the caller's clock
 	Leaving       bool
 	Quarantined   bool // by the caller; the placer quarantines workers itself as well
-	EpochAccepted bool // the worker has accepted the owner's epoch; otherwise it gets no work
+	EpochAccepted bool // the worker has accepted the owner's epoch; otherwise it gets no tasks
 
 	// Version changes whenever any other field but MeasuredAt changes. Place reuses sums
 	// over AssignedTasks while it stays the same; 0 recomputes them in each call. The chosen
 	// worker's capacity is always checked without these sums, so a stale Version can lead to
-	// a worse choice but never exceeds capacity.
+	// a worse choice but never to a worker whose capacity is exceeded.
 	Version uint64
 }
 
@@ -104,7 +104,7 @@
 	Name         string
 	Free         configurator.Resources // of a worker
 	Score        float64                // lower is better
-	Interference float64                // estimated sum of slowdowns added by the task and to it
+	Interference float64                // estimated sum of the slowdowns that the task adds to other tasks and they add to it
 	FailureRate  float64                // recent share of failed tasks on a worker
 	Age          time.Duration          // of the worker's report
 	Rejected     string                 // reason why it was not eligible, empty if it was
@@ -185,8 +185,9 @@
 func (Checkpoint) mitigation() {}
 func (Stop) mitigation()       {}
 
-// Margins of CommittedResources: shares by which usage may grow until the next report arrives. Too few cores
-// slow tasks down, but too little memory kills them, so memory has the larger margin.
+// Margins of CommittedResources, as shares of the measured usage: usage may grow by as much until the
+// next report arrives. Memory has the larger margin, because too few cores only slow tasks down but
+// too little memory kills them.
 const (
 	coreMarginShare   = 0.05
 	memoryMarginShare = 0.10
