--- a/internal/orchestrator/action.go
+++ b/internal/orchestrator/action.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Action is an instruction to the caller of Step. The types of this file implement it.
+// Action is an instruction to the caller of Orchestrator.Apply. The types of this file
+// implement it.
 type Action interface{ action() }
 
 // StartRun starts a run. The answer comes back as StartAnswered.
@@ -23,8 +24,8 @@
 	Run    int
 }
 
-// ThrottleRun sets the speed limit of a run, in percent of its full speed. The answer comes back
-// as ThrottleAnswered.
+// ThrottleRun sets the speed limit of a run, in percent of its full speed. The answer comes
+// back as ThrottleAnswered.
 type ThrottleRun struct {
 	Worker  string
 	Task    string
@@ -35,7 +36,7 @@
 // StartPolling starts polling a worker, or changes its address.
 type StartPolling struct{ Worker WorkerEntry }
 
-// StopPolling ends the polling of a worker.
+// StopPolling stops polling a worker.
 type StopPolling struct{ ID string }
 
 // RequestAdvice asks the outside policy which of the workers may run a step. The answer comes
@@ -62,7 +63,7 @@
 	Outcome string
 	Reason  string
 	Age     time.Duration // of the figures on which the decision is based, or of the run or job
-	Figures string        // these figures, as key=value pairs
+	Figures string        // figures on which the decision is based, as key=value pairs
 }
 
 func (StartRun) action()      {}
--- a/internal/orchestrator/advice.go
+++ b/internal/orchestrator/advice.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// maxAdviceWorkers bounds the workers in one request to the outside policy. Each takes time
-	// there, and about as many suffice for a step.
+	// maxAdviceWorkers bounds the workers in one request to the outside policy. The policy needs
+	// time for each worker, and about 30 workers suffice for a step.
 	maxAdviceWorkers = 30
-	// ticketValidityMargin is subtracted from the validity of tickets, because the start takes
+	// ticketValidityMargin is subtracted from the validity of tickets, because a start needs
 	// time to reach the worker.
 	ticketValidityMargin = 300 * time.Millisecond
 	// adviceRetryInterval is the pause after a request without an answer.
 	adviceRetryInterval = 300 * time.Millisecond
 )
 
-// advice is the state of the outside policy's answers on a step.
+// advice holds the outside policy's answers on a step and the state of the requests.
 type advice struct {
 	pending       bool // a request is sent and not answered
-	askedAt       time.Time
+	requestedAt   time.Time
 	retryAt       time.Time
 	answered      map[string]bool   // workers on which the policy has answered, by ID
 	tickets       map[string]string // valid tickets, by the ID of the allowed worker
 	ticketsEnd    time.Time         // when the tickets become invalid; zero: there are none
-	allowedBefore map[string]bool   // workers that were allowed at any time, by ID; the answer on a worker does not change
+	allowedBefore map[string]bool   // workers that were ever allowed, by ID; the policy's answer on a worker does not change
 }
 
 // adviceName returns the step's name in requests to the outside policy.
@@ -33,8 +33,8 @@
 	return fmt.Sprintf("%s.%d.%d", s.occurrence.job.ID, s.occurrence.number, s.index)
 }
 
-// advisedWorkers returns the workers with a valid ticket, and requests tickets if there are
-// none. The text is why the step waits if there are none.
+// advisedWorkers returns the workers with a valid ticket. If there are none, it requests
+// tickets; the second result is the reason why the step waits meanwhile.
 func (o *Orchestrator) advisedWorkers(s *step, ws []*worker) ([]*worker, string) {
 	a := &s.advice
 	if !a.ticketsEnd.IsZero() && o.now.After(a.ticketsEnd) {
@@ -47,14 +47,14 @@
 		}
 	}
 	if len(usable) == 0 && !a.pending && o.now.After(a.retryAt) {
-		o.askAdvice(s, ws)
+		o.requestAdvice(s, ws)
 	}
 	return usable, "no worker has a valid ticket of the outside policy yet"
 }
 
-// askAdvice asks the outside policy for tickets of workers with enough free capacity: first
+// requestAdvice asks the outside policy for tickets of workers with enough free capacity: first
 // those that were allowed before, then those on which it has not answered.
-func (o *Orchestrator) askAdvice(s *step, ws []*worker) {
+func (o *Orchestrator) requestAdvice(s *step, ws []*worker) {
 	a := &s.advice
 	var names []string
 	for _, again := range []bool{true, false} {
@@ -68,12 +68,12 @@
 	if len(names) == 0 {
 		return
 	}
-	a.pending, a.askedAt = true, o.now
+	a.pending, a.requestedAt = true, o.now
 	o.emit(RequestAdvice{Step: s.adviceName(), Workers: names})
 }
 
-// advised applies an answer of the outside policy.
-func (o *Orchestrator) advised(e AdviceAnswered) {
+// adviceAnswered applies an answer of the outside policy.
+func (o *Orchestrator) adviceAnswered(e AdviceAnswered) {
 	t := o.findTask(e.Step + ".0")
 	if t == nil {
 		return
@@ -99,6 +99,6 @@
 			a.tickets[id], a.allowedBefore[id] = ticket, true
 		}
 	}
-	a.ticketsEnd = a.askedAt.Add(e.Valid - ticketValidityMargin)
-	o.emit(Note{Event: EventAdvice, Job: t.job().ID, Task: e.Step, Outcome: fmt.Sprintf("%d of %d workers allowed", len(e.Tickets), len(e.Asked)), Age: o.now.Sub(a.askedAt)})
+	a.ticketsEnd = a.requestedAt.Add(e.Valid - ticketValidityMargin)
+	o.emit(Note{Event: EventAdvice, Job: t.job().ID, Task: e.Step, Outcome: fmt.Sprintf("%d of %d workers allowed", len(e.Tickets), len(e.Asked)), Age: o.now.Sub(a.requestedAt)})
 }
--- a/internal/orchestrator/bench_test.go
+++ b/internal/orchestrator/bench_test.go
@@ -21,7 +21,7 @@
 		w.submit(latencyCriticalJob(fmt.Sprintf("s%d", i), fmt.Sprintf("image%d", i%5), 6, cores(3, 6)))
 	}
 	w.run(2 * time.Second)
-	w.runTime = func(string, *fakeWorker) time.Duration { return time.Hour }
+	w.runTime = func(string, *simulatedWorker) time.Duration { return time.Hour }
 	for i := range 800 {
 		w.submit(bestEffortJob(fmt.Sprintf("b%d", i), fmt.Sprintf("batch%d", i%9), 20, cores(2, 2)))
 	}
@@ -43,7 +43,7 @@
 	}
 	w.elect(false)
 	w.run(2 * time.Second)
-	w.runTime = func(string, *fakeWorker) time.Duration { return time.Hour }
+	w.runTime = func(string, *simulatedWorker) time.Duration { return time.Hour }
 	for i := range 350 {
 		w.submit(latencyCriticalJob(fmt.Sprintf("s%d", i), fmt.Sprintf("image%d", i%5), 5, cores(6, 12)))
 		w.submit(bestEffortJob(fmt.Sprintf("b%d", i), fmt.Sprintf("batch%d", i%9), 8, cores(2, 2)))
--- a/internal/orchestrator/event.go
+++ b/internal/orchestrator/event.go
@@ -8,7 +8,8 @@
 // Event is an input of the state machine. The types of this file implement it.
 type Event interface{ event() }
 
-// Inherited is the state that an earlier leader left in the store. No task starts before it.
+// Inherited is the state that an earlier leader left in the store. No task starts before this
+// event.
 type Inherited struct {
 	Jobs       []InheritedJob
 	Finished   []Record // jobs in a final state
@@ -44,7 +45,7 @@
 	Labels        []string
 	Capacity      Resources
 	Draining      bool
-	Warmup        time.Duration // how much longer the worker is slow after its start
+	Warmup        time.Duration // how much longer the worker is slow after its start; 0: not slow
 }
 
 // WorkersListed reports the complete list of workers.
@@ -60,9 +61,9 @@
 type RunningRun struct {
 	Task    string
 	Run     int
-	Saved   string
-	Percent int // progress; of a long-running task 100 once it is ready
-	Figure  int // tail latency in ms of a task with a latency target, else millicores in use; 0: unknown
+	Saved   string // reference to the last checkpoint
+	Percent int    // progress; of a long-running task 100 once it is ready
+	Figure  int    // tail latency in ms of a task with a latency target, else millicores in use; 0: unknown
 }
 
 // EndCause is how a run ended.
@@ -80,7 +81,7 @@
 
 // EndedRun is a run that a worker lists as ended.
 type EndedRun struct {
-	Number int // of the end, increasing within one incarnation of the worker
+	Number int // number of the end; increases within one incarnation of the worker
 	Task   string
 	Run    int
 	How    EndCause
@@ -90,7 +91,7 @@
 // PollAnswered is a worker's answer to a poll.
 type PollAnswered struct {
 	Worker         string
-	Incarnation    int64         // identifies the incarnation
+	Incarnation    int64         // identifies the worker's process
 	Clock          time.Duration // the worker's clock
 	SentAt         time.Time
 	ReceivedAt     time.Time
@@ -150,7 +151,8 @@
 	Answered bool
 }
 
-// Confirmed reports that no other leader had been elected at SentAt.
+// Confirmed reports that the leadership was confirmed: no other leader had been elected at
+// SentAt.
 type Confirmed struct{ SentAt time.Time }
 
 // Written reports that a batch from NextBatch is in the store.
@@ -169,7 +171,7 @@
 // name the workers of all runs.
 type HandOver struct{}
 
-// Tick is sent at short intervals, for what depends only on time.
+// Tick is sent at short intervals, for the work that depends only on time.
 type Tick struct {
 	// WallOffset is how far the time of day, to which schedules refer, is ahead of the time
 	// of events.
--- a/internal/orchestrator/interference.go
+++ b/internal/orchestrator/interference.go
@@ -7,54 +7,62 @@
 
 const (
 	// measurementDelay is how long after a change of a worker's best-effort tasks or their
-	// speed its tail latencies still show the state before. They cover the last half second
-	// and are polled with a delay.
+	// speed limits its tail latencies still show the state before the change. Tail latencies
+	// cover the last half second and are polled with a delay.
 	measurementDelay = 700 * time.Millisecond
 	// defaultIdleTailRatio is the tail latency of an idle task as a share of its latency
 	// target, until a lower one is measured.
 	defaultIdleTailRatio = 0.22
 	// defaultOwnLoad is the utilization that a task's own callers cause, until it is measured.
 	defaultOwnLoad = 0.44
-	// Own loads outside of minOwnLoad and maxOwnLoad are taken as measurement errors.
+	// Measured own loads are limited to the range from minOwnLoad to maxOwnLoad; values outside
+	// are measurement errors.
 	minOwnLoad = 0.15
 	maxOwnLoad = 0.72
-	// ownLoadWeight is the weight of one measurement in a task's own load, which varies
-	// within seconds.
+	// ownLoadWeight is the weight of one measurement in a task's own load. It is high because
+	// the own load varies within seconds.
 	ownLoadWeight = 0.5
-	// utilizationAtTarget is the utilization at which a tail latency is near its target.
-	utilizationAtTarget = 0.76
-	// maxOwnLoadRise is how much a task's own load may rise while a best-effort task runs.
+	// utilizationNearTarget is the utilization at which the model gives a tail latency of about
+	// nine tenths of the latency target, if the idle tail ratio is the default one.
+	utilizationNearTarget = 0.76
+	// maxOwnLoadRise is the reserve for a rise of a task's own load while a best-effort task
+	// runs.
 	maxOwnLoadRise = 0.08
 	// coefficientMargin is added to each coefficient before a best-effort task starts, because
 	// small errors of many such tasks on one worker add up.
 	coefficientMargin = 0.08
-	// baseBudget is the utilization that best-effort tasks may add in any case.
+	// baseBudget is the utilization that best-effort tasks may add, unless own load and
+	// maxOwnLoadRise leave less below utilizationNearTarget.
 	baseBudget = 0.06
-	// lowOwnLoad is the own load below which best-effort tasks may add the difference, up to
-	// maxBudget. When the own load rises, they are throttled.
+	// lowOwnLoad is the sum of own load and added utilization up to which best-effort tasks may
+	// add more than baseBudget, but at most maxBudget. When the own load rises, the tasks are
+	// throttled.
 	lowOwnLoad = 0.60
-	maxBudget  = 0.16
-	// initialCoefficient is taken for pairs of images without samples. Most coefficients are
-	// near 0, some between 1 and 3.
+	// maxBudget is the most utilization that best-effort tasks may add at a low own load.
+	maxBudget = 0.16
+	// initialCoefficient is the coefficient of pairs of images without samples. It lies between
+	// the coefficients of most pairs, near 0, and those of pairs that interfere, 1 to 3.
 	initialCoefficient = 0.4
-	maxCoefficient     = 20.0
+	// maxCoefficient bounds the measured coefficients.
+	maxCoefficient = 20.0
 	// initialVariance is the variance of a coefficient without samples.
 	initialVariance = 0.5
-	// sampleVariance is the variance of one measured utilization around the prediction: a
-	// task's own load varies by a quarter of its mean, and successive samples of a task are
-	// correlated.
+	// sampleVariance is the assumed variance of one measured utilization around the prediction.
+	// It allows for the own load, which varies by a quarter of its mean, and for successive
+	// samples of a task, which are correlated.
 	sampleVariance = 0.05
-	// varianceDrift is added to a coefficient's variance with each sample, so that late
-	// samples still count.
+	// varianceDrift is added to a coefficient's variance with each sample, so that later
+	// samples never lose their effect.
 	varianceDrift = 0.0002
-	// maxBestEffortImages bounds the memory for one latency-critical image. The best-effort
-	// images beyond it share one estimate.
+	// maxBestEffortImages bounds the best-effort images with an estimate of their own for one
+	// latency-critical image, and so the memory. Further images share one estimate.
 	maxBestEffortImages = 64
 	// meanLoadWeight is the weight of one sample in an image's mean own load.
 	meanLoadWeight = 0.02
-	// maxTrials bounds the best-effort tasks that start within trialWindow beside tasks of an
-	// image whose interference with them has not been measured.
-	maxTrials   = 3
+	// maxTrials bounds the starts within trialWindow of tasks of a best-effort image beside a
+	// latency-critical image, while the interference of the pair has not been measured.
+	maxTrials = 3
+	// trialWindow is the time after which a start no longer counts for maxTrials.
 	trialWindow = 1200 * time.Millisecond
 )
 
@@ -64,7 +72,7 @@
 	bestEffort  string // empty: all best-effort images beyond maxBestEffortImages
 	coefficient float64
 	samples     int
-	trials      []time.Time // starts before the first sample
+	trials      []time.Time // start times before the first sample, within trialWindow
 	// covariance holds, by best-effort image, the covariance of its coefficient with this one.
 	covariance map[string]float64
 }
@@ -76,9 +84,9 @@
 // the worker's processors that the task may use. Most pairs do not interfere; a few do so
 // strongly.
 type interferenceModel struct {
-	pairs          map[string]map[string]*pairEstimate // by latency-critical image, by best-effort image
-	idleTailRatios map[string]float64                  // lowest measured tail latency by image, as a share of the target
-	meanOwnLoad    map[string]float64                  // by latency-critical image
+	pairs          map[string]map[string]*pairEstimate // by latency-critical image and best-effort image
+	idleTailRatios map[string]float64                  // lowest measured tail latency as a share of the latency target, by latency-critical image
+	meanOwnLoad    map[string]float64                  // mean own load of the tasks, by latency-critical image
 }
 
 func newInterferenceModel() interferenceModel {
@@ -104,7 +112,7 @@
 }
 
 // addedUtilization returns the utilization that best-effort tasks add to a task of a
-// latency-critical image. loads are as from bestEffortLoads.
+// latency-critical image. loads is a result of bestEffortLoads.
 func (m interferenceModel) addedUtilization(critical string, loads map[string]float64) float64 {
 	sum := 0.0
 	for image, load := range loads {
@@ -113,8 +121,8 @@
 	return sum
 }
 
-// idleTailRatio returns the tail latency of an idle task of an image as a share of its
-// target.
+// idleTailRatio returns the tail latency of an idle task of a latency-critical image as a
+// share of the latency target.
 func (m interferenceModel) idleTailRatio(critical string) float64 {
 	if idle, ok := m.idleTailRatios[critical]; ok {
 		return idle
@@ -122,8 +130,9 @@
 	return defaultIdleTailRatio
 }
 
-// utilization returns the utilization at which the model gives a tail latency, which is
-// passed as a share of the target. A new lowest tail latency becomes the idle one.
+// utilization returns the utilization at which the model gives a tail latency. tailRatio is
+// the tail latency as a share of the latency target; a new lowest one becomes that of an idle
+// task.
 func (m interferenceModel) utilization(critical string, tailRatio float64) float64 {
 	idle := m.idleTailRatio(critical)
 	if tailRatio < idle {
@@ -133,8 +142,8 @@
 	return 1 - idle/tailRatio
 }
 
-// update corrects the model by a measured tail latency. The part that the best-effort
-// tasks do not explain is the task's own load, which varies around the image's mean.
+// update corrects the model by a measured tail latency. The difference between the measured
+// and the predicted utilization corrects both the image's mean own load and the coefficients.
 func (m interferenceModel) update(critical string, tailRatio float64, loads map[string]float64) {
 	mean, ok := m.meanOwnLoad[critical]
 	if !ok {
@@ -147,8 +156,8 @@
 
 // updateCoefficients distributes the residual of a prediction over the coefficients of the
 // best-effort images beside a task of a latency-critical image. It is a Kalman filter whose
-// state is the coefficients of that latency-critical image. The coefficients of images that
-// always run together stay uncertain together.
+// state is the coefficients of that latency-critical image. If best-effort images always run
+// together, samples do not tell their coefficients apart; the covariances keep this.
 func (m interferenceModel) updateCoefficients(critical string, loads map[string]float64, residual float64) {
 	present := make(map[string]float64, len(loads))
 	for image, load := range loads {
@@ -163,37 +172,38 @@
 		e.covariance[image] += varianceDrift
 	}
 	total := sampleVariance
-	shared := make(map[string]float64) // covariance of each coefficient with the sample
+	sampleCovariance := make(map[string]float64) // covariance of each coefficient with the sample
 	for image, e := range m.pairs[critical] {
 		c := 0.0
 		for other, load := range present {
 			c += e.covariance[other] * load
 		}
 		if c != 0 {
-			shared[image] = c
+			sampleCovariance[image] = c
 			total += c * present[image]
 		}
 	}
-	for image, c := range shared {
+	for image, c := range sampleCovariance {
 		e := m.pair(critical, image)
 		e.coefficient = min(maxCoefficient, max(0, e.coefficient+c/total*residual))
-		for other, d := range shared {
+		for other, d := range sampleCovariance {
 			e.covariance[other] -= c * d / total
 		}
 	}
 }
 
-// headroom is the predicted headroom of the tasks of a latency-critical image on a worker.
+// headroom is the predicted utilization that best-effort tasks may still add to the tasks of
+// a latency-critical image on a worker.
 type headroom struct {
 	image       string
-	utilization float64 // that best-effort tasks may still add
+	utilization float64 // utilization that may still be added; negative: too much is added
 }
 
 // headroomMaxAge bounds the age of a worker's cached headrooms.
 const headroomMaxAge = 100 * time.Millisecond
 
 // bestEffortLoads returns the share of the worker's processors that best-effort tasks may
-// use, by image. percent gives the speed limit of each run.
+// use, by image. percent returns the speed limit of a run in percent.
 func (w *worker) bestEffortLoads(percent func(*run) int) map[string]float64 {
 	loads := make(map[string]float64)
 	for _, r := range w.runs {
@@ -204,6 +214,8 @@
 	return loads
 }
 
+// bestEffortLoad returns the share of the worker's processors that a best-effort task of the
+// step may use at a speed limit of percent.
 func (w *worker) bestEffortLoad(s *Step, percent int) float64 {
 	return float64(s.Size.CPU) * float64(percent) / 100 / float64(max(1, w.Capacity.CPU))
 }
@@ -224,7 +236,7 @@
 			continue
 		}
 		image := r.task.step.Image
-		left := min(max(baseBudget, lowOwnLoad-r.ownLoad), maxBudget, utilizationAtTarget-maxOwnLoadRise-r.ownLoad) - o.interference.addedUtilization(image, loads) - coefficientMargin*total
+		left := min(max(baseBudget, lowOwnLoad-r.ownLoad), maxBudget, utilizationNearTarget-maxOwnLoadRise-r.ownLoad) - o.interference.addedUtilization(image, loads) - coefficientMargin*total
 		if i := slices.IndexFunc(w.headrooms, func(h headroom) bool { return h.image == image }); i >= 0 {
 			w.headrooms[i].utilization = min(w.headrooms[i].utilization, left)
 			continue
@@ -234,8 +246,9 @@
 	return w.headrooms
 }
 
-// updateInterference passes the tail latencies from a poll of a worker to the model, unless
-// its best-effort tasks have changed within measurementDelay.
+// updateInterference updates the model and the own loads with the tail latencies from a poll
+// of a worker, unless its best-effort tasks have changed within measurementDelay. The Figure
+// of a latency-critical run is its tail latency in ms.
 func (o *Orchestrator) updateInterference(w *worker, rows []RunningRun) {
 	if w.load.latencyCritical == 0 {
 		return
@@ -259,15 +272,15 @@
 }
 
 // headroomWith returns the utilization that best-effort tasks may still add on a worker
-// after a task of the step has started there too: the least over its latency-critical
-// images. Below 0, a tail latency is predicted to come near its target.
+// after a task of the step has started there too. It is the lowest value over the worker's
+// latency-critical images; below 0, a tail latency is predicted to come near its target.
 func (o *Orchestrator) headroomWith(s *step, w *worker) float64 {
 	left := baseBudget
 	load := w.bestEffortLoad(s.Step, 100)
 	for _, h := range o.headrooms(w) {
 		e := o.interference.pair(h.image, s.Image)
 		if e.samples == 0 && e.recentTrials(o.now) >= maxTrials {
-			return -utilizationAtTarget
+			return -utilizationNearTarget // no headroom until the trials have been measured
 		}
 		left = min(left, h.utilization-(e.coefficient+coefficientMargin)*load)
 	}
@@ -287,15 +300,18 @@
 	return true
 }
 
-// A best-effort task is harmless if it adds at most harmlessUtilization to each
-// latency-critical task beside it, by a coefficient from at least harmlessMinSamples samples.
+// Bounds for a harmless best-effort task.
 const (
-	harmlessMinSamples  = 30
+	// harmlessMinSamples is the number of samples from which a coefficient may show that a
+	// task is harmless.
+	harmlessMinSamples = 30
+	// harmlessUtilization is the most utilization that a harmless task adds to each
+	// latency-critical task beside it.
 	harmlessUtilization = 0.01
 )
 
-// initialSpeed returns the percent of its speed at which a task of the step starts on a
-// worker: 100, unless a latency-critical task there would come near its target.
+// initialSpeed returns the speed limit in percent with which a task of the step starts on a
+// worker: 100, unless the task would add more to a latency-critical image than its headroom.
 func (o *Orchestrator) initialSpeed(s *step, w *worker) int {
 	if !s.Fills {
 		return 100
@@ -310,8 +326,8 @@
 	return max(minRunSpeed, int(100*speed))
 }
 
-// interferingShare returns the share of the latency-critical images with which a
-// best-effort task of the step interferes strongly.
+// interferingShare returns the share of the latency-critical images with which a best-effort
+// task of the step interferes by at least separationCoefficient.
 func (o *Orchestrator) interferingShare(s *step) float64 {
 	if len(o.interference.meanOwnLoad) == 0 {
 		return 0
@@ -326,11 +342,11 @@
 }
 
 // separationCoefficient is the coefficient from which a pair of images is kept on separate
-// workers if possible: with it, a best-effort task of a tenth of a worker uses up most of
-// baseBudget.
+// workers if possible. With this coefficient, a best-effort task that uses a tenth of a worker
+// adds as much as baseBudget.
 const separationCoefficient = 0.6
 
-// recentTrials returns the number of starts within trialWindow.
+// recentTrials returns the number of trials within trialWindow, and removes older ones.
 func (e *pairEstimate) recentTrials(now time.Time) int {
 	e.trials = slices.DeleteFunc(e.trials, func(t time.Time) bool { return now.Sub(t) > trialWindow })
 	return len(e.trials)
--- a/internal/orchestrator/job.go
+++ b/internal/orchestrator/job.go
@@ -19,7 +19,7 @@
 	StateCancelled State = "cancelled"
 )
 
-// Final reports whether the state is a final one.
+// Final reports whether a job in this state has ended.
 func (s State) Final() bool {
 	return s == StateSucceeded || s == StateFailed || s == StateCancelled
 }
@@ -67,13 +67,13 @@
 // Policy is the configuration of a job's queue at the time of the job's acceptance.
 type Policy struct {
 	Queue          string
-	Service        string  // its workers run the tasks
-	Priority       int     // 0 is the highest
-	Attempts       int     // number of failed runs of a task that fail its job
-	Stretch        float64 // a job's deadline is Stretch times its expected run time plus TargetDuration after its submission
-	TargetDuration time.Duration
-	Advised        bool // an outside policy decides which workers may run a step
-	Guarded        bool // workers refuse tasks that exceed their free capacity
+	Service        string        // its workers run the tasks
+	Priority       int           // 0 is the highest
+	Attempts       int           // number of failed runs of a task after which its job fails
+	Stretch        float64       // the deadline is the submission time + Stretch * expected run time + TargetDuration
+	TargetDuration time.Duration // see Stretch
+	Advised        bool          // an outside policy decides which workers may run a step
+	Guarded        bool          // workers refuse tasks that exceed their free capacity
 }
 
 // Job is a job as it was submitted.
--- a/internal/orchestrator/load_test.go
+++ b/internal/orchestrator/load_test.go
@@ -52,7 +52,8 @@
 	w.addWorker("w1", cores(4, 16), "r0")
 	w.leader().step(orchestrator.WorkersListed{Workers: w.listedWorkers()})
 	dead.dead = true
-	// 4.5 s of lease on a clock that is 2% slow, a poll, and the start.
+	// 6 s are enough for the lease of 4.5 s on a clock that is 2% slow, a poll and the start.
+	// The runs of the dead worker stay listed in the simulation.
 	w.run(6 * time.Second)
 	is.Equal(w.runningOn("j1"), []string{"w0", "w0", "w1", "w1"})
 }
@@ -98,8 +99,8 @@
 }
 
 // A worker fails all its runs, but answers polls normally. Guards against such a worker
-// getting most of the work because it is always idle, and against a quarantine that never
-// ends.
+// getting most of the tasks because it always has free capacity, and against a quarantine that
+// never ends.
 func TestFailingWorkerIsQuarantined(t *testing.T) {
 	is := is.New(t)
 	w := newSimulation(t, 1)
@@ -121,7 +122,7 @@
 		}
 	}
 	is.Equal(failed, 0)
-	is.True(len(w.workers["w0"].ended) <= 12) // a fifth of the 60 tasks: the first few, and probes
+	is.True(len(w.workers["w0"].ended) <= 12) // at most a fifth of the 60 tasks: the first few and the probes
 	w.workers["w0"].failsTasks = false
 	w.workers["w0"].ended = nil
 	for i := range 20 {
@@ -157,7 +158,7 @@
 		w.submit(j)
 	}
 	w.run(5 * time.Second)
-	w.runTime = func(string, *fakeWorker) time.Duration { return 300 * time.Millisecond }
+	w.runTime = func(string, *simulatedWorker) time.Duration { return 300 * time.Millisecond }
 	w.submit(simpleJob("j1", 1, cores(1, 1)))
 	w.run(100 * time.Millisecond)
 	is.Equal(w.runningOn("j1"), []string{"w0"})
@@ -196,7 +197,7 @@
 	w.submit(latencyCriticalJob("s1", "web", 3, cores(8, 8)))
 	w.submit(latencyCriticalJob("s2", "api", 3, cores(8, 8)))
 	w.run(time.Second)
-	w.runTime = func(string, *fakeWorker) time.Duration { return 2 * time.Second }
+	w.runTime = func(string, *simulatedWorker) time.Duration { return 2 * time.Second }
 	overTarget, samples := 0, 0
 	for i := range 40 {
 		w.submit(bestEffortJob(fmt.Sprintf("loud%d", i), "loud", 2, cores(3, 2)))
@@ -219,9 +220,10 @@
 	}
 }
 
-// setTailLatencies sets the tail latency of each latency-critical task to that of a queue: 4 ms
-// without load, with a utilization of 0.45, and more for tasks of s1 (image web) beside tasks
-// of the image loud. It returns the number of tasks over the target of 18 ms and of all tasks.
+// setTailLatencies sets the tail latency of each latency-critical task to that of a queue with
+// 4 ms without load. The utilization is 0.45, and higher for tasks of s1 (image web) beside
+// tasks of the image loud. It returns the number of tasks over the target of 18 ms and of all
+// tasks.
 func (w *simulation) setTailLatencies() (overTarget, all int) {
 	for _, k := range w.workers {
 		loud := 0.0
@@ -253,7 +255,7 @@
 func TestLongRunningTaskPreemptsBatch(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1, cores(32, 16))
-	w.runTime = func(string, *fakeWorker) time.Duration { return 30 * time.Second }
+	w.runTime = func(string, *simulatedWorker) time.Duration { return 30 * time.Second }
 	w.submit(bestEffortJob("b1", "x", 8, cores(1, 2)))
 	w.run(time.Second)
 	is.Equal(len(w.runningOn("b1")), 8)
@@ -287,7 +289,7 @@
 func TestCancelStopsAndStartsNothing(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1, cores(4, 32))
-	w.runTime = func(string, *fakeWorker) time.Duration { return time.Minute }
+	w.runTime = func(string, *simulatedWorker) time.Duration { return time.Minute }
 	w.submit(simpleJob("j1", 8, cores(1, 1)))
 	w.run(500 * time.Millisecond)
 	started := w.starts
@@ -308,7 +310,7 @@
 	}
 	w.elect(false)
 	w.run(time.Second)
-	w.runTime = func(string, *fakeWorker) time.Duration { return 5 * time.Second }
+	w.runTime = func(string, *simulatedWorker) time.Duration { return 5 * time.Second }
 	w.submit(simpleJob("j1", 4, cores(1, 1)))
 	w.run(200 * time.Millisecond)
 	g := simpleJob("g1", 6, cores(1, 1))
@@ -352,7 +354,7 @@
 	w.addWorker("w1", cores(2, 32), "r1")
 	w.elect(false)
 	w.run(time.Second)
-	w.runTime = func(string, *fakeWorker) time.Duration { return 3 * time.Second }
+	w.runTime = func(string, *simulatedWorker) time.Duration { return 3 * time.Second }
 	j := simpleJob("j1", 3, cores(1, 1))
 	j.Steps[0].RackAffinity = "r1"
 	w.submit(j)
--- a/internal/orchestrator/model_test.go
+++ b/internal/orchestrator/model_test.go
@@ -22,7 +22,7 @@
 		w := newSimulation(rt, rapid.Uint64().Draw(rt, "seed"))
 		w.faults = faults{dropped: 0.03, appliedLate: 0.05}
 		w.succeeds = func(string, int) bool { return w.rng.Float64() > 0.05 }
-		w.runTime = func(string, *fakeWorker) time.Duration {
+		w.runTime = func(string, *simulatedWorker) time.Duration {
 			return 300*time.Millisecond + time.Duration(w.rng.Int64N(int64(2*time.Second)))
 		}
 		for i := range 5 {
@@ -88,10 +88,10 @@
 	return j
 }
 
-// restart gives a worker a new incarnation under the same name. Commands that would be
-// executed late are lost with the old one: a command does not name an incarnation, so that
-// the new one could not refuse it.
-func (k *fakeWorker) restart(w *simulation) {
+// restart gives a worker a new incarnation under the same name. Commands that are
+// still to be executed late are dropped: they do not name an incarnation, so that the new one
+// could not refuse them.
+func (k *simulatedWorker) restart(w *simulation) {
 	w.pendingCommands = slices.DeleteFunc(w.pendingCommands, func(o pendingCommand) bool { return o.worker == k.entry.ID })
 	k.incarnation, k.startedAt, k.fence, k.leaseEnd, k.endCount, k.ackedUpto, k.endsBeforeExpiry = w.now.UnixMilli(), w.now, 0, 0, 0, 0, 0
 	k.ended = nil
@@ -100,7 +100,7 @@
 }
 
 // partition disconnects the leader from the store and some workers, and elects a successor
-// that reaches only those workers. Bit i of side is set if the successor gets worker i.
+// that reaches only those workers. Bit i of side is set if only the successor reaches worker i.
 func (w *simulation) partition(side int) {
 	old := w.leader()
 	old.storeUnreachable = true
--- a/internal/orchestrator/orchestrator.go
+++ b/internal/orchestrator/orchestrator.go
@@ -14,16 +14,16 @@
 	Epoch          uint64        // store revision of the leader's election
 	ElectedAt      time.Time     // when the leader learned that it had won the election
 	ConfirmedAt    time.Time     // when the request that won the election was sent
-	Lease          time.Duration // of runs on workers
-	LeaderLease    time.Duration // how long after a confirmation leases may last
+	Lease          time.Duration // length of the leases of runs
+	LeaderLease    time.Duration // leases of runs end at most this long after the last confirmation of the leadership
 	MaxLease       time.Duration // workers shorten longer leases to this
 	Retention      time.Duration // how long the records of finished jobs are kept
 	RemoteSlowdown float64       // slowdown of a task away from its data, or of a gang on several racks
 }
 
 const (
-	// clockDrift is the share by which a worker's clock may run slower than real time, by the
-	// platform's description of its workers.
+	// clockDrift is the share by which a worker's clock may run slower than real time, as the
+	// platform's description of its workers allows.
 	clockDrift = 0.02
 	// leaseSlack covers the rounding of leases to milliseconds and the delay of timers.
 	leaseSlack = 100 * time.Millisecond
@@ -50,23 +50,23 @@
 	queueStats    map[string]*queueStats // by queue
 	interference  interferenceModel
 
-	inherited      bool            // Inherited has been applied
-	handedOff      bool            // the earlier leader handed over cleanly
-	confirmedAt    time.Time       // when it was last certain that no other leader had been elected
-	statisticsAt   time.Time       // when NextBatch last returned the workload statistics
-	rosterVersion  uint64          // of the last change
-	rosterWritten  uint64          // version that is in the store
-	dirty          map[string]*job // jobs with unwritten changes, by ID
-	expired        []string        // finished jobs whose records are to be deleted
-	capacityScarce bool            // only the reserve for short jobs is left
-	lightlyLoaded  bool            // less than lightLoadShare of the workers' processors is used
-	passDue        bool            // a change may let a task start
-	loadNotedAt    time.Time
-	lastPassAt     time.Time
-	scoreOffset    int           // worker at which the next scoring of some of many workers begins
-	deposed        bool          // a later leader exists
-	leaving        bool          // this leader hands over
-	wallOffset     time.Duration // as in Tick
+	inheritedApplied bool            // Inherited has been applied
+	handedOff        bool            // the earlier leader handed over cleanly
+	confirmedAt      time.Time       // when it was last certain that no other leader had been elected
+	statisticsAt     time.Time       // when NextBatch last returned the workload statistics
+	rosterVersion    uint64          // version of the roster after its last change
+	rosterWritten    uint64          // roster version that is in the store
+	dirty            map[string]*job // jobs with unwritten changes, by ID
+	expired          []string        // finished jobs whose records are to be deleted
+	capacityScarce   bool            // only the reserve for short jobs is left
+	lightlyLoaded    bool            // less than lightLoadShare of the workers' processors is used
+	passDue          bool            // a scheduling pass is due, because a change may let a task start
+	loadNotedAt      time.Time       // when noteLoad last ran
+	lastPassAt       time.Time       // of the last scheduling pass
+	scoreOffset      int             // index of the worker at which choose begins if it scores only some of the workers
+	deposed          bool            // a later leader exists
+	leaving          bool            // this leader hands over
+	wallOffset       time.Duration   // WallOffset of the last Tick
 }
 
 // finishedJob is a job whose final state is in the store.
@@ -97,8 +97,8 @@
 	runCount            int       // present runs of all tasks
 	idleSince           time.Time // when the last run ended, or a step became ready without any run
 
-	version        uint64    // of the last change
-	writtenVersion uint64    // version that is in the store
+	version        uint64    // version of the record after its last change
+	writtenVersion uint64    // record version that is in the store
 	changedAt      time.Time // of the oldest change that is not in the store
 }
 
@@ -112,7 +112,7 @@
 
 	forecast         forecast // as of forecastAt; empty: none yet
 	forecastAt       time.Time
-	remainingRunTime time.Duration // expected run time of the longest remaining chain of steps, as of forecastAt
+	remainingRunTime time.Duration // expected run time of the longest chain of unfinished steps, as of forecastAt
 }
 
 type step struct {
@@ -125,7 +125,7 @@
 	rack                   string // of the first task that started
 	readyAt                time.Time
 	meanRunTime            time.Duration // of the measured tasks
-	runTimeSamples         int           // measured tasks
+	runTimeSamples         int           // number of measured tasks
 	waitNotedAt            time.Time     // when a reason for waiting was last noted
 	advice                 advice
 }
@@ -140,7 +140,7 @@
 	saved             string // reference to the last checkpoint
 	runs              []*run
 	expiredRuns       map[int]bool    // runs whose lease or worker ended without a report
-	moves             int             // away from bad workers
+	moves             int             // moves because it was throttled, hung or slow, less its preemptions
 	unsuitableWorkers map[string]bool // workers on which a run failed or was too slow
 	waitingSince      time.Time       // when the last run ended, or the step became ready
 	// nextPreemption is the earliest time at which other tasks may be stopped for this one.
@@ -172,9 +172,9 @@
 	case Inherited:
 		o.inherit(e)
 	case JobAccepted:
-		o.accept(e.Job, e.Revision)
+		o.acceptJob(e.Job, e.Revision)
 	case CancelRequested:
-		o.cancel(e.ID)
+		o.cancelJob(e.ID)
 	case WorkersListed:
 		o.listWorkers(e.Workers)
 	case WorkerListed:
@@ -198,7 +198,7 @@
 	case Written:
 		o.batchWritten(e.Batch)
 	case AdviceAnswered:
-		o.advised(e)
+		o.adviceAnswered(e)
 	case HandOver:
 		o.handOver()
 	case Tick:
@@ -208,7 +208,7 @@
 	if o.leaving {
 		return nil
 	}
-	if o.passDue && o.inherited && !o.deposed && o.now.Sub(o.lastPassAt) >= o.passPause() {
+	if o.passDue && o.inheritedApplied && !o.deposed && o.now.Sub(o.lastPassAt) >= o.passPause() {
 		o.passDue, o.lastPassAt = false, o.now
 		o.schedule()
 	}
@@ -221,20 +221,20 @@
 	o.leaving = true
 	for _, w := range o.workers {
 		for _, r := range w.runs {
-			o.change(r.task.job())
+			o.markDirty(r.task.job())
 		}
 	}
 }
 
-// RecordsNameAllRuns reports whether the records after a HandOver name the workers of all runs. They
-// do not if an earlier leader, which did not hand over, may have started tasks on a worker
+// RecordsNameAllRuns reports whether the records after a HandOver name the workers of all
+// runs. They do not if an earlier leader, which did not hand over, may have started tasks on a worker
 // that has not answered this leader yet.
 func (o *Orchestrator) RecordsNameAllRuns() bool {
-	if !o.inherited {
+	if !o.inheritedApplied {
 		return false
 	}
 	for _, w := range o.workers {
-		if w.inherited && !w.resolved && !o.handedOff {
+		if w.mayRunInheritedTasks && !w.runsKnown && !o.handedOff {
 			return false
 		}
 	}
@@ -251,8 +251,8 @@
 	}
 }
 
-// tick handles what depends on time: leases expire, occurrences become due, commands are
-// sent again.
+// tick does the work that depends only on time: it expires leases, begins occurrences that
+// are due and sends commands without an answer again.
 func (o *Orchestrator) tick() {
 	for _, w := range o.workersByID() {
 		o.tickWorker(w)
@@ -260,7 +260,7 @@
 	for _, j := range o.jobs {
 		o.beginOccurrences(j)
 	}
-	o.expire()
+	o.expireFinishedJobs()
 	o.passDue = true
 	if o.now.Sub(o.loadNotedAt) >= loadNoteInterval {
 		o.loadNotedAt = o.now
@@ -268,7 +268,7 @@
 	}
 }
 
-// loadNoteInterval is the interval between two notes on the load of all workers.
+// loadNoteInterval is the shortest time between two notes on the load of all workers.
 const loadNoteInterval = time.Second
 
 // noteLoad notes the capacity and the use of the usable workers and the size of the queue.
@@ -283,7 +283,7 @@
 		counted += w.used.CPU - w.load.latencyCritical
 		latencyCritical += w.load.latencyCritical
 		bestEffort += w.load.bestEffort
-		unused += max(0, w.unused())
+		unused += max(0, w.unusedCPU())
 	}
 	waiting, cpu := 0, 0
 	for s := range o.ready {
@@ -300,18 +300,18 @@
 
 // inherit takes over the state that an earlier leader left in the store.
 func (o *Orchestrator) inherit(e Inherited) {
-	o.inherited, o.handedOff, o.passDue = true, e.HandedOff, true
+	o.inheritedApplied, o.handedOff, o.passDue = true, e.HandedOff, true
 	o.restoreWorkloadStatistics(e.Statistics)
 	for _, r := range e.Finished {
 		o.finished[r.ID] = finishedJob{queue: r.Queue, state: r.State, at: r.FinishedAt}
 	}
 	for _, ij := range e.Jobs {
 		if ij.Record != nil && ij.Record.State.Final() || o.jobs[ij.Job.ID] != nil {
-			continue // finished, or known from a notice that came while the store was read
+			continue // finished, or added by a JobAccepted event while the store was read
 		}
 		o.addJob(ij.Job, ij.Revision, ij.Record)
 		if ij.Cancelled {
-			o.cancel(ij.Job.ID)
+			o.cancelJob(ij.Job.ID)
 		}
 	}
 	for _, r := range e.Roster.Workers {
@@ -320,18 +320,18 @@
 		w.Address = parseAddress(r.Address)
 		w.rostered = true
 		if !w.idle {
-			w.inherited = true
+			w.mayRunInheritedTasks = true
 			w.leasesEnd = o.settings.ElectedAt.Add(maxLeaseTime(o.settings.LeaderLease))
 		}
-		if !w.watched && w.Address.IsValid() {
-			w.watched = true
+		if !w.polled && w.Address.IsValid() {
+			w.polled = true
 			o.emit(StartPolling{Worker: w.WorkerEntry})
 		}
 	}
 }
 
-// accept adds a job whose acceptance is in the store.
-func (o *Orchestrator) accept(j Job, revision uint64) {
+// acceptJob adds a job whose acceptance is in the store.
+func (o *Orchestrator) acceptJob(j Job, revision uint64) {
 	if _, ok := o.finished[j.ID]; ok || o.jobs[j.ID] != nil {
 		return
 	}
@@ -342,7 +342,7 @@
 	o.addJob(j, revision, nil)
 }
 
-// addJob adds a job, with the progress of its record unless that is nil.
+// addJob adds a job, with the progress from its record r. r is nil if no record was written.
 func (o *Orchestrator) addJob(spec Job, revision uint64, r *Record) {
 	j := &job{Job: spec, inherited: spec.Epoch < o.settings.Epoch, state: StateQueued}
 	o.jobs[j.ID] = j
@@ -402,6 +402,7 @@
 	}
 }
 
+// due returns when an occurrence of a job with a schedule is due.
 func (j *job) due(number int) time.Time {
 	return j.First.Add(time.Duration(number) * j.Interval)
 }
@@ -512,19 +513,19 @@
 	}
 	j.finishedOccurrences = append(j.finishedOccurrences, oc.number)
 	j.occurrences = slices.DeleteFunc(j.occurrences, func(k *occurrence) bool { return k == oc })
-	o.change(j)
+	o.markDirty(j)
 	if len(j.finishedOccurrences) >= max(1, j.Occurrences) {
-		o.finish(j, StateSucceeded, "every task has ended well")
+		o.finishJob(j, StateSucceeded, "every task has ended well")
 	}
 }
 
-// finish moves a job to a final state, which callers see once it is in the store.
-func (o *Orchestrator) finish(j *job, s State, reason string) {
+// finishJob moves a job to a final state, which callers see once it is in the store.
+func (o *Orchestrator) finishJob(j *job, s State, reason string) {
 	if j.state.Final() {
 		return
 	}
 	j.state, j.finishedAt = s, o.now
-	o.change(j)
+	o.markDirty(j)
 	for _, oc := range j.occurrences {
 		for _, st := range oc.steps {
 			delete(o.ready, st)
@@ -538,17 +539,17 @@
 	o.emit(WriteSoon{})
 }
 
-func (o *Orchestrator) cancel(id string) {
+func (o *Orchestrator) cancelJob(id string) {
 	j := o.jobs[id]
 	if j == nil || j.cancelled || j.state.Final() {
 		return
 	}
 	j.cancelled = true
-	o.finish(j, StateCancelled, "cancelled by a caller")
+	o.finishJob(j, StateCancelled, "cancelled by a caller")
 }
 
-// change marks a job's record in the store as out of date.
-func (o *Orchestrator) change(j *job) {
+// markDirty marks a job's record in the store as out of date.
+func (o *Orchestrator) markDirty(j *job) {
 	if j.version == j.writtenVersion {
 		j.changedAt = o.now
 	}
@@ -556,9 +557,9 @@
 	o.dirty[j.ID] = j
 }
 
-// expire removes finished jobs after their retention, and requests the deletion of their
-// records.
-func (o *Orchestrator) expire() {
+// expireFinishedJobs removes finished jobs after their retention, and requests the deletion
+// of their records.
+func (o *Orchestrator) expireFinishedJobs() {
 	for id, f := range o.finished {
 		if o.now.Sub(f.at) > o.settings.Retention {
 			delete(o.finished, id)
@@ -596,7 +597,8 @@
 	return pending
 }
 
-// findTask returns the task with a name, nil if its job has finished or is unknown.
+// findTask returns the task with a name, or nil if its job or occurrence has finished or is
+// unknown.
 func (o *Orchestrator) findTask(name string) *task {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 {
@@ -624,8 +626,8 @@
 
 func (t *task) job() *job { return t.step.occurrence.job }
 
-// attempts returns the number of failed runs of the task that fail its job.
-func (t *task) attempts() int {
+// maxAttempts returns the number of failed runs of the task after which its job fails.
+func (t *task) maxAttempts() int {
 	if a := t.job().Policy.Attempts; a > 0 {
 		return a
 	}
--- a/internal/orchestrator/overload_test.go
+++ b/internal/orchestrator/overload_test.go
@@ -23,9 +23,10 @@
 	return n
 }
 
-// Identical batch jobs arrive at twice the rate that the workers can process, for many times
-// their time to the deadline. Guards against ordering by deadline alone: every job would get
-// some capacity, all would finish just after their deadline, and nearly none would be in time.
+// Identical batch jobs arrive at twice the rate that the workers can process, for much longer
+// than the time from a job's submission to its deadline. Guards against ordering by deadline
+// alone: every job would get some capacity, nearly all would finish just after their deadline,
+// and nearly none in time.
 func TestSustainedOverloadFinishesStartedJobs(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 4, cores(8, 64))
@@ -39,8 +40,8 @@
 		w.run(500 * time.Millisecond)
 	}
 	w.run(20 * time.Second)
-	// Steps of a job leave gaps in which the next job runs, so that fewer than one job a
-	// second can end in time.
+	// Between the steps of a job there are gaps in which the next job runs, so that fewer than
+	// one job a second can end in time.
 	if n := w.finishedWithin("b", 5*time.Second); n < seconds*2/3 {
 		t.Errorf("%d jobs in time, want at least two thirds of the %d that the workers can process", n, seconds)
 	}
@@ -54,7 +55,7 @@
 func TestDeadlineAllowsForLongestTask(t *testing.T) {
 	w := newCluster(t, 4, cores(16, 64))
 	n := 0
-	w.runTime = func(string, *fakeWorker) time.Duration {
+	w.runTime = func(string, *simulatedWorker) time.Duration {
 		n++
 		return []time.Duration{600, 800, 1000, 1200, 1400, 1000}[n%6] * time.Millisecond
 	}
@@ -74,8 +75,8 @@
 	}
 }
 
-// deadlineAfterSubmission returns the time from a job's submission to its deadline, as the
-// leader has noted it, -1 if it has not.
+// deadlineAfterSubmission returns the time from a job's submission to its deadline from the
+// leader's note on the job, -1 if there is no such note.
 func (w *simulation) deadlineAfterSubmission(id string) time.Duration {
 	for _, e := range w.notes {
 		if e.Event == orchestrator.EventJobAdded && e.Job == id {
@@ -106,7 +107,7 @@
 	w.run(time.Second)
 	w.submit(latencyCriticalJob("s1", "web", 1, cores(8, 8)))
 	w.run(time.Second)
-	w.runTime = func(string, *fakeWorker) time.Duration { return time.Minute }
+	w.runTime = func(string, *simulatedWorker) time.Duration { return time.Minute }
 	w.submit(bestEffortJob("loud", "loud", 1, cores(3, 2)))
 	for range 60 {
 		w.setTailLatencies()
@@ -131,7 +132,7 @@
 }
 
 // Capacity is free only beside a latency-critical task. Guards against best-effort tasks of
-// late jobs that use up the headroom there, which only those of jobs in time may do.
+// late jobs that use up the headroom there: only tasks of jobs that are on time may do so.
 func TestLateBestEffortTaskKeepsHeadroom(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1, cores(16, 64))
@@ -169,7 +170,7 @@
 	is := is.New(t)
 	w := newCluster(t, 4, cores(8, 64))
 	n := 0
-	w.runTime = func(string, *fakeWorker) time.Duration {
+	w.runTime = func(string, *simulatedWorker) time.Duration {
 		n++
 		return time.Duration(400+170*(n%5)) * time.Millisecond // different, so that tasks end one at a time
 	}
@@ -186,8 +187,9 @@
 }
 
 // A worker with long-running tasks fails other tasks for a while. After its quarantine it gets
-// one task at a time until one succeeds. Guards against counting the long-running tasks as
-// that one task, and against waiting for the end of a long-running task that was tried first.
+// one task at a time until one succeeds. Guards against counting the long-running tasks that
+// ran before as that one task, and against waiting for the end of a long-running task that is
+// started as that one task.
 func TestRecoveredWorkerGetsWorkBesideLongRunningTasks(t *testing.T) {
 	is := is.New(t)
 	w := newCluster(t, 1, cores(16, 64))
@@ -214,7 +216,8 @@
 }
 
 // There are more workers than are scored for one task, and as many tasks as fit on them.
-// Guards against free workers that are never found because others are scored.
+// Guards against free workers that are never used because the same other workers are scored
+// each time.
 func TestAllWorkersAreUsedWhenSomeAreScored(t *testing.T) {
 	is := is.New(t)
 	w := newSimulation(t, 1)
@@ -224,7 +227,7 @@
 	}
 	w.elect(false)
 	w.run(time.Second)
-	w.runTime = func(string, *fakeWorker) time.Duration { return time.Minute }
+	w.runTime = func(string, *simulatedWorker) time.Duration { return time.Minute }
 	for i := range many / 10 {
 		w.submit(simpleJob(fmt.Sprintf("j%d", i), 10, cores(3, 2)))
 	}
--- a/internal/orchestrator/place.go
+++ b/internal/orchestrator/place.go
@@ -17,24 +17,25 @@
 	// bestEffortUnusedShare is the share of a best-effort task's declared processors that must
 	// be unused on a worker before the task starts there.
 	bestEffortUnusedShare = 0.7
-	// starvationTimeout is how long a best-effort job may have nothing running before one of
-	// its tasks starts even where it is slowed. The platform counts a job as lost after 3 s.
+	// starvationTimeout is how long a best-effort job may be without a run before one of its
+	// tasks starts even on a worker where other tasks slow it down. The platform counts a job
+	// as lost after 3 s.
 	starvationTimeout = 2 * time.Second
 	// longRunningMaxWait is how long a long-running task may be without a run before it goes
 	// ahead of others and may take the reserve for short jobs. While workers are missing,
-	// short jobs that would be late are worth more than seconds of its work. The platform
-	// counts a task as lost after 7 s.
+	// short jobs that would be late are worth more than seconds of a long-running task's work.
+	// The platform counts a long-running task as lost after 7 s without a run.
 	longRunningMaxWait = 4500 * time.Millisecond
 	// shortJobReserveShare is the share of the processors that is kept for short jobs until a
 	// long-running task has waited for longRunningMaxWait.
 	shortJobReserveShare = 0.08
 	// waitNoteInterval is the shortest time between two notes on why a step waits.
 	waitNoteInterval = 2 * time.Second
-	// passInterval is the pause between two scheduling passes. Answers of workers arrive more
-	// often than that.
+	// passInterval is the pause between two scheduling passes. Without it, each answer of a
+	// worker would cause a pass, and answers arrive more often.
 	passInterval = 15 * time.Millisecond
-	// passIntervalPerStep lengthens the pause for each step in the queue, so that passes take
-	// at most a few hundredths of a core.
+	// passIntervalPerStep is added to the pause for each ready step, so that passes take at
+	// most a few hundredths of a core.
 	passIntervalPerStep = 100 * time.Microsecond
 	// maxScoredWorkers bounds the workers that are scored for one task. Scoring all of 2,700
 	// workers takes milliseconds for each start, and the best of 300 is nearly as good.
@@ -44,31 +45,31 @@
 	maxStartsPerPass = 160
 )
 
-// Weights of the terms of a worker's score. The term for unused processors lies between 0
-// and 1 and has the weight 1.
+// Weights of the terms of a worker's score. The term for unused processors is at most 1 and
+// has the weight 1.
 const (
 	weightRack        = 2.0 // worker on the rack of the data or of the step's other tasks
-	weightAvoid       = 5.0 // an earlier run of the task failed or was too slow there
+	weightUnsuitable  = 5.0 // an earlier run of the task failed or was too slow there
 	weightSlowdown    = 0.7 // for each multiple of the expected run time by which runs there take longer
-	weightWarmup      = 0.3
-	weightHarmless    = 0.2 // best-effort task that interferes with no image, on a worker without latency-critical tasks
+	weightWarmup      = 0.3 // worker that is still slow after its start
+	weightHarmless    = 0.2 // subtracted on workers without latency-critical tasks, for a best-effort task that interferes with no image
 	weightOtherImages = 1.5 // for each other latency-critical image on the worker
-	weightHeadroom    = 4.0 // headroom left to best-effort tasks, and interference with a latency-critical task
+	weightHeadroom    = 4.0 // for the headroom after the start of a best-effort task, or against interference with a latency-critical task
 )
 
 // lateMinHeadroom is the headroom that must remain on a worker after a best-effort task of a
-// late job has started there: such jobs are worth less than the missed latency targets that
-// they may cause.
+// late job has started there: a late job is worth less than the missed latency targets that
+// it may cause.
 const lateMinHeadroom = 0.03
 
-// Forecasts. Steps are ordered by the text of their forecast.
+// Values of forecast. Steps are ordered by the text of their forecast, hence the digits.
 const (
 	forecastOnTime forecast = "1 on time" // the job can meet its deadline
-	forecastLate   forecast = "2 late"    // the job can end within lateFactor times its time to the deadline
+	forecastLate   forecast = "2 late"    // the job can end within lateFactor times the time between its due time and its deadline
 	forecastMissed forecast = "3 missed"  // the job will end later still, but must be finished
 )
 
-// scheduleStep starts the step's waiting tasks for which a worker is found and returns the
+// scheduleStep starts the step's waiting tasks until one finds no worker, and returns the
 // number of starts.
 func (o *Orchestrator) scheduleStep(p *pass, s *step) int {
 	if s.Gang {
@@ -91,7 +92,7 @@
 		}
 		if workers == nil {
 			var reason string
-			if workers, reason = o.candidatesOf(p, s); len(workers) == 0 {
+			if workers, reason = o.cachedCandidates(p, s); len(workers) == 0 {
 				o.noteWait(s, reason)
 				return starts
 			}
@@ -129,9 +130,9 @@
 	}
 }
 
-// blockedByUnreached returns why a task cannot start on any worker yet, empty if it can. An
-// earlier leader may have started an inherited task on a worker that has not answered this
-// leader yet.
+// blockedByUnreached returns why a task must not start on any worker yet, or an empty string.
+// A task of an inherited job must not start while an earlier leader may have started it on a
+// worker that has not answered this leader yet.
 func (o *Orchestrator) blockedByUnreached(p *pass, t *task) string {
 	j := t.job()
 	if !j.inherited || t.observed {
@@ -149,9 +150,9 @@
 	return ""
 }
 
-// candidatesOf returns a step's candidates, cached for the pass. They are the same for all
-// steps of a service with the same required label, unless the outside policy is asked.
-func (o *Orchestrator) candidatesOf(p *pass, s *step) ([]*worker, string) {
+// cachedCandidates returns the result of candidates, cached for the pass. It is the same for
+// all steps of a service with the same required label, unless the outside policy decides.
+func (o *Orchestrator) cachedCandidates(p *pass, s *step) ([]*worker, string) {
 	if s.occurrence.job.Policy.Advised {
 		return o.candidates(s)
 	}
@@ -189,8 +190,8 @@
 	return ws, reason
 }
 
-// countedSize returns the free capacity that a task of the step needs. The processors of
-// best-effort tasks do not count.
+// countedSize returns the free capacity that a task of the step needs. For best-effort tasks,
+// the processors do not count.
 func (s *step) countedSize() Resources {
 	size := s.Size
 	if s.Fills {
@@ -199,9 +200,10 @@
 	return size
 }
 
-// choose returns the worker with the highest score for a task, nil if none fits, and the
-// score. At most maxScoredWorkers are scored, unless the step has a rack affinity or no
-// worker among them fits; successive calls begin at different workers.
+// choose returns the worker with the highest score for a task, or nil if the task fits on
+// none, and the score. At most maxScoredWorkers are scored, unless the step has a rack affinity
+// or needs one rack, or the task fits on none of them. Successive calls begin at different
+// workers.
 func (o *Orchestrator) choose(t *task, workers []*worker) (*worker, float64) {
 	limit := len(workers)
 	if t.step.RackAffinity == "" && !t.step.SameRack {
@@ -230,7 +232,7 @@
 // fits reports whether a task may start on a worker now.
 func (o *Orchestrator) fits(t *task, w *worker) bool {
 	s := t.step
-	if o.now.Before(w.noRoomUntil) || w.probe != nil || w.reservedFor != nil && w.reservedFor != t && o.now.Before(w.reservedUntil) {
+	if o.now.Before(w.noCapacityUntil) || w.probe != nil || w.reservedFor != nil && w.reservedFor != t && o.now.Before(w.reservedUntil) {
 		return false
 	}
 	if !w.free().covers(s.countedSize()) || w.atLimit(s) {
@@ -240,7 +242,7 @@
 		return false
 	}
 	if s.RackAffinity != "" && w.Rack != s.RackAffinity {
-		wait := time.Duration(rackWaitShare * float64(s.expected(o.stats(s.occurrence.job.Policy.Queue).runTimeRatio)))
+		wait := time.Duration(rackWaitShare * float64(s.expectedRunTime(o.stats(s.occurrence.job.Policy.Queue).runTimeRatio)))
 		if o.now.Sub(t.waitingSince) < wait && o.rackExists(s) {
 			return false
 		}
@@ -254,8 +256,8 @@
 	if o.lightlyLoaded && o.starved(t.job()) {
 		return true
 	}
-	if w.unused() < int(bestEffortUnusedShare*float64(t.step.Size.CPU)) {
-		return false // sharing processors would make all best-effort tasks there late
+	if w.unusedCPU() < int(bestEffortUnusedShare*float64(t.step.Size.CPU)) {
+		return false // best-effort tasks that share processors would all be late
 	}
 	if w.load.latencyCritical == 0 || o.harmless(t.step, w) {
 		return true
@@ -281,8 +283,8 @@
 	return j.runCount == 0 && o.now.Sub(j.idleSince) > starvationTimeout
 }
 
-// rackExists reports whether a reachable worker of the job's service is on the rack of the
-// step's data.
+// rackExists reports whether the rack of the step's data has a reachable worker of the job's
+// service.
 func (o *Orchestrator) rackExists(s *step) bool {
 	for _, w := range o.workersByID() {
 		if w.Rack == s.RackAffinity && w.Service == s.occurrence.job.Policy.Service && w.listed && !w.unreachable {
@@ -292,9 +294,9 @@
 	return false
 }
 
-// unused returns the millicores that the tasks on a worker probably leave to a best-effort
-// task.
-func (w *worker) unused() int {
+// unusedCPU returns the millicores that the tasks on a worker are expected to leave to a
+// best-effort task.
+func (w *worker) unusedCPU() int {
 	counted := w.used.CPU - w.load.latencyCritical
 	return w.Capacity.CPU - counted - int(latencyCriticalUseShare*float64(w.load.latencyCritical)) - w.load.bestEffort
 }
@@ -322,21 +324,22 @@
 func (o *Orchestrator) scoreWorker(t *task, w *worker) float64 {
 	s := t.step
 	capacity := float64(max(1, w.Capacity.CPU))
-	score := float64(w.unused()) / capacity
+	score := float64(w.unusedCPU()) / capacity
 	switch {
 	case s.Fills && w.load.latencyCritical > 0:
 		score += weightHeadroom * o.headroomWith(s, w)
 	case s.Fills:
 		score += weightHeadroom*baseBudget - weightHarmless*(1-o.interferingShare(s))
 	case s.LatencyTarget > 0:
-		// Packed on few workers, so that others are left to best-effort tasks that interfere.
+		// Latency-critical tasks are packed on few workers, so that the others are left to
+		// best-effort tasks that interfere.
 		score = float64(w.used.CPU)/capacity - weightHeadroom*o.interferenceOn(s, w) - weightOtherImages*float64(o.otherImages(s, w))
 	}
 	if s.RackAffinity != "" && s.RackAffinity == w.Rack || s.SameRack && s.rack == w.Rack {
 		score += weightRack
 	}
 	if t.unsuitableWorkers[w.ID] {
-		score -= weightAvoid
+		score -= weightUnsuitable
 	}
 	if w.slowdown > 1 {
 		score -= weightSlowdown * (w.slowdown - 1)
@@ -373,7 +376,7 @@
 		}
 		number = max(number, t.nextRun)
 	}
-	workers, reason := o.candidatesOf(p, s)
+	workers, reason := o.cachedCandidates(p, s)
 	if len(workers) == 0 {
 		o.noteWait(s, reason)
 		return 0
@@ -395,8 +398,8 @@
 	return len(s.tasks)
 }
 
-// planGang returns a worker for each member of a gang, on one rack if the step needs that
-// and it is possible. It returns nil if there is not enough free capacity.
+// planGang returns a worker for each member of a gang, or nil if there is not enough free
+// capacity. If the step needs one rack, it plans for several racks only after rackWait.
 func (o *Orchestrator) planGang(s *step, workers []*worker) []*worker {
 	if s.SameRack {
 		racks := make(map[string][]*worker)
@@ -433,14 +436,14 @@
 			fit += n
 		}
 		if fit >= s.Count {
-			return time.Duration((o.settings.RemoteSlowdown - 1) * float64(s.expected(o.stats(s.occurrence.job.Policy.Queue).runTimeRatio)))
+			return time.Duration((o.settings.RemoteSlowdown - 1) * float64(s.expectedRunTime(o.stats(s.occurrence.job.Policy.Queue).runTimeRatio)))
 		}
 	}
 	return 0
 }
 
-// planMembers returns a worker for each member of a gang, nil if one finds none. The
-// members placed so far count as used while the next is placed.
+// planMembers returns a worker for each member of a gang, or nil if there is none for one of
+// them. While it places a member, it counts the members placed before as running.
 func (o *Orchestrator) planMembers(s *step, workers []*worker) []*worker {
 	taken := make(map[*worker]int, len(s.tasks))
 	defer func() {
--- a/internal/orchestrator/preempt.go
+++ b/internal/orchestrator/preempt.go
@@ -14,12 +14,13 @@
 	// to a second.
 	preemptInterval = 1500 * time.Millisecond
 	// preemptRetryInterval is the pause after a search for victims that found none. A search
-	// goes through all runs of all workers: one for each waiting task in each pass keeps a
-	// leader of 350 workers busy for seconds.
+	// goes through all runs of all workers: a search for each waiting task in each pass would
+	// keep a leader with 350 workers busy for seconds.
 	preemptRetryInterval = 500 * time.Millisecond
-	// Cost of stopping a run.
-	stopCostBase    = 1.0 // of any run, also one that has a checkpoint
-	stopCostLostRun = 4.0 // added for the work of a whole run, in proportion to the lost progress
+	// stopCostBase is the cost of stopping any run, also one whose task saves checkpoints.
+	stopCostBase = 1.0
+	// stopCostLostRun is added for a run without checkpoints, in proportion to its progress.
+	stopCostLostRun = 4.0
 )
 
 // victims are the runs that must be stopped on a worker to free capacity for a task.
@@ -29,8 +30,8 @@
 	cost   float64
 }
 
-// preempt stops runs of lower priority on the worker where that frees enough capacity for a
-// task at the least cost. It reports whether it has stopped any.
+// preempt stops runs of lower priority to free capacity for a task, on the worker where that
+// costs least. It reports whether it has stopped any.
 func (o *Orchestrator) preempt(t *task, workers []*worker) bool {
 	waited := o.now.Sub(t.waitingSince)
 	if t.step.Fills || waited < preemptMinWait || t.step.LongRunning && o.capacityScarce && waited < longRunningMaxWait || o.now.Before(t.nextPreemption) {
@@ -51,14 +52,15 @@
 	}
 	t.nextPreemption = o.now.Add(preemptInterval)
 	for _, r := range best.runs {
-		r.task.moves-- // a preemption does not count as a move away from a bad worker
+		r.task.moves-- // a preempted task may be moved once more, see maxMoves
 		o.stop(r, "preempted by task "+t.name+" of higher priority")
 	}
 	return true
 }
 
-// victimsOn returns runs of lower priority on a worker whose stop frees enough capacity for a
-// task, the cheapest first, nil if all of them do not suffice.
+// victimsOn returns the runs of lower priority to stop on a worker, the cheapest first, so
+// that a task fits there. It returns nil if all of them do not free enough capacity or none
+// has to be stopped.
 func (o *Orchestrator) victimsOn(w *worker, t *task) *victims {
 	free := w.free()
 	freeable := free // free capacity after all runs of lower priority have stopped
@@ -90,7 +92,7 @@
 	return v
 }
 
-// stopCost returns the cost of stopping a run: higher the more work is lost.
+// stopCost returns the cost of stopping a run, which grows with the work that is lost.
 func (r *run) stopCost() float64 {
 	if r.task.step.Checkpoints {
 		return stopCostBase
--- a/internal/orchestrator/queue.go
+++ b/internal/orchestrator/queue.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// pass is the state of one scheduling pass.
+// pass is the state of one scheduling pass, in which the leader tries to start the waiting
+// tasks of all ready steps.
 type pass struct {
 	candidates map[string][]*worker // by service and label
 	reasons    map[string]string    // by service and label: why there are no candidates
-	unplaced   map[string]Resources // by service and image: size of the last best-effort task that no worker could take
+	unplaced   map[string]Resources // by service and image: size of the last best-effort task that fits on no worker
 	unreached  []*worker            // workers without an answer that may still run tasks of an earlier leader
 }
 
@@ -20,7 +21,7 @@
 	o.lightlyLoaded = o.updateLoad()
 	p := &pass{candidates: make(map[string][]*worker), reasons: make(map[string]string), unplaced: make(map[string]Resources)}
 	for _, w := range o.workersByID() {
-		if w.inherited && !w.resolved && !w.idle {
+		if w.mayRunInheritedTasks && !w.runsKnown && !w.idle {
 			p.unreached = append(p.unreached, w)
 		}
 	}
@@ -54,7 +55,7 @@
 func (o *Orchestrator) queue() []urgency {
 	us := make([]urgency, 0, len(o.ready))
 	for s := range o.ready {
-		if s.waiting() {
+		if s.hasWaitingTasks() {
 			u := urgency{step: s, priority: s.occurrence.job.Policy.Priority, deadline: s.deadline()}
 			u.forecast, u.remaining = o.forecast(s.occurrence)
 			u.begun = !s.LongRunning && s.occurrence.begun()
@@ -65,32 +66,32 @@
 	return us
 }
 
-// waiting reports whether a task of the step neither runs nor has succeeded.
-func (s *step) waiting() bool {
+// hasWaitingTasks reports whether a task of the step neither runs nor has succeeded.
+func (s *step) hasWaitingTasks() bool {
 	return slices.ContainsFunc(s.tasks, func(t *task) bool { return !t.done && len(t.runs) == 0 })
 }
 
-// placedBySizeOnly reports whether only their service, image and size decide where the step's
-// best-effort tasks can start. If one of them fits nowhere, neither does a larger one of the
-// same service and image.
+// placedBySizeOnly reports whether the step is a best-effort step and only service, image and
+// size decide where its tasks can start. If one such task fits on no worker, a larger one of
+// the same service and image does not either.
 func (o *Orchestrator) placedBySizeOnly(s *step) bool {
 	return s.Fills && !o.lightlyLoaded && s.RequiredLabel == "" && s.RackAffinity == "" && s.MaxPerWorker == 0 && !s.Gang && !s.occurrence.job.Policy.Advised
 }
 
-// knownFull reports whether a task of the same service and image that is no larger than the
-// step's has found no worker in this pass.
+// knownFull reports whether this pass has found no worker for a task of the same service and
+// image that is no larger than the step's tasks.
 func (p *pass) knownFull(s *step) bool {
 	size, ok := p.unplaced[s.occurrence.job.Policy.Service+"/"+s.Image]
 	return ok && s.Size.CPU >= size.CPU && s.Size.Memory >= size.Memory
 }
 
 // lightLoadShare is the share of the usable workers' processors below which the load is
-// light. The platform requires that a job runs while less than half is in use. It counts
-// other workers as usable than the leader does, so that the bound here is higher.
+// light. The platform requires that a job runs while less than half is in use. Because it
+// does not count the same workers as usable as the leader does, the bound here is higher.
 const lightLoadShare = 0.6
 
-// updateLoad reports whether the load is light: a job with nothing running must then
-// start even where it is slowed. It also sets capacityScarce.
+// updateLoad sets capacityScarce, and reports whether the load is light. While it is light, a
+// job without a run must start even where other tasks slow it down.
 func (o *Orchestrator) updateLoad() bool {
 	capacity, used := 0, 0
 	for _, w := range o.workersByID() {
@@ -106,13 +107,13 @@
 // forecast says whether a job is expected to meet its deadline.
 type forecast string
 
-// lateFactor is how many times its time to the deadline a job may take and still count in
-// part for the platform.
+// lateFactor is the multiple of the time between due time and deadline within which a job
+// must end to count in part for the platform.
 const lateFactor = 3
 
-// unstartedDelayFactor is how many times the run time of its longest chain a job without any
-// run so far is expected to take: its tasks wait for capacity, run slower beside others, and
-// fail.
+// unstartedDelayFactor is the expected time to the end of an occurrence that has not begun,
+// as a multiple of the run time of its longest chain of steps. Tasks wait for capacity, run
+// slower beside others, and fail.
 const unstartedDelayFactor = 1.75
 
 // begun reports whether a task of the occurrence has succeeded, runs or has a checkpoint.
@@ -133,14 +134,14 @@
 // forecastMaxAge bounds the age of a cached forecast.
 const forecastMaxAge = 250 * time.Millisecond
 
-// forecast returns an occurrence's forecast and the expected run time of its longest
-// remaining chain of steps.
+// forecast returns an occurrence's forecast and the expected run time of its longest chain of
+// unfinished steps.
 func (o *Orchestrator) forecast(oc *occurrence) (forecast, time.Duration) {
 	if oc.forecast != "" && o.now.Sub(oc.forecastAt) < forecastMaxAge {
 		return oc.forecast, oc.remainingRunTime
 	}
 	if oc.steps[0].LongRunning {
-		// All time without a run of such a task counts alike: it has no deadline to miss.
+		// A long-running task has no deadline: each second without a run costs the same.
 		return forecastOnTime, 0
 	}
 	qs := o.stats(oc.job.Policy.Queue)
@@ -151,7 +152,7 @@
 			ends[i] = max(ends[i], ends[a])
 		}
 		if s.unfinished > 0 {
-			took := time.Duration(qs.longestFactor(s.unfinished) * float64(s.expected(qs.runTimeRatio)))
+			took := time.Duration(qs.longestFactor(s.unfinished) * float64(s.expectedRunTime(qs.runTimeRatio)))
 			if s.unfinished < s.Count {
 				took /= 2 // some tasks have succeeded already
 			}
@@ -176,9 +177,10 @@
 	return oc.forecast, oc.remainingRunTime
 }
 
-// compareUrgency orders steps by priority, then by the forecast of their jobs, then those of
-// begun jobs first. Jobs that are on time are ordered by deadline. Of the others, those with
-// the least remaining run time go first: if many jobs ran in turns, all would end late.
+// compareUrgency orders steps by priority, then by forecast, and then puts steps of
+// occurrences that have begun first. Steps that are on time are ordered by deadline. Of the
+// others, those with the least remaining run time go first: if many jobs ran in turns, all
+// would end late.
 func compareUrgency(a, b urgency) int {
 	if c := cmp.Or(cmp.Compare(a.priority, b.priority), cmp.Compare(a.forecast, b.forecast)); c != 0 {
 		return c
--- a/internal/orchestrator/record.go
+++ b/internal/orchestrator/record.go
@@ -15,7 +15,7 @@
 	FinishedAt time.Time    // of a final state
 	Finished   []int        // occurrences whose tasks have all succeeded
 	Done       []DoneSet    // succeeded tasks of the other occurrences
-	Tasks      []TaskRecord // other tasks of these that may have had a run
+	Tasks      []TaskRecord // tasks of the other occurrences that have not succeeded and may have had a run
 }
 
 // DoneSet is the set of tasks of a step that have succeeded.
@@ -35,7 +35,7 @@
 	NextRun    int
 	Failed     []int    // numbers of the failed runs
 	Saved      string   // reference to the last checkpoint
-	Workers    []string // workers that may run it
+	Workers    []string // workers that may run the task
 }
 
 // EncodeRecord returns a record's value in the store.
@@ -84,7 +84,7 @@
 			tr.Workers = append(tr.Workers, r.worker.ID)
 		}
 		if !t.observed {
-			tr.Workers = t.recordedWorkers // this leader has not found a run of it yet
+			tr.Workers = t.recordedWorkers // this leader has not found a run of the task yet
 		}
 		tasks = append(tasks, tr)
 	}
@@ -120,14 +120,14 @@
 			continue
 		}
 		t := s.tasks[tr.Index]
-		t.nextRun += tr.NextRun - 1 // nextRun is 1 before, or 1 + runNumberMargin
+		t.nextRun += tr.NextRun - 1 // before, nextRun is 1 or 1 + runNumberMargin
 		t.failed, t.saved = tr.Failed, tr.Saved
 		t.recordedWorkers = tr.Workers
 	}
 }
 
-// stepAt returns a step of an occurrence, which is added if it is missing, and nil if the job
-// has no such step or occurrence.
+// stepAt returns a step of an occurrence, or nil if the job has no such step or occurrence.
+// A missing occurrence is added.
 func (j *job) stepAt(o *Orchestrator, number, index int, now time.Time) *step {
 	if index < 0 || index >= len(j.Steps) || number < 0 || number >= max(1, j.Occurrences) {
 		return nil
@@ -145,7 +145,7 @@
 	ID       string
 	Service  string
 	Address  string
-	Idle     bool // no run that any leader started can be there
+	Idle     bool // no run of any leader can be on the worker
 }
 
 // Roster lists the workers that a new leader must poll, or whose leases it must wait for.
@@ -163,8 +163,8 @@
 	return r, nil
 }
 
-// WorkloadStatistics holds the measured statistics of images and queues. A successor that had to
-// measure them anew would cause latency-critical tasks to miss their targets meanwhile.
+// WorkloadStatistics holds the measured statistics of images and queues. While a new leader
+// measured them anew, latency-critical tasks would miss their targets.
 type WorkloadStatistics struct {
 	Pairs  []PairStatistics
 	Images []ImageStatistics
@@ -188,7 +188,7 @@
 type ImageStatistics struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the encoder
 	Image    string
-	Idle     float64 // lowest tail latency as a share of the target
+	Idle     float64 // lowest tail latency as a share of the latency target
 	Mean     float64 // mean utilization that the tasks' own callers cause
 }
 
@@ -199,7 +199,7 @@
 func DecodeWorkloadStatistics(b []byte) (WorkloadStatistics, error) {
 	var e WorkloadStatistics
 	if err := msgpack.Unmarshal(b, &e); err != nil {
-		return WorkloadStatistics{}, fmt.Errorf("decode experience: %w", err)
+		return WorkloadStatistics{}, fmt.Errorf("decode workload statistics: %w", err)
 	}
 	return e, nil
 }
--- a/internal/orchestrator/reservation.go
+++ b/internal/orchestrator/reservation.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// reservationTime is how long a worker stays reserved for a task after the last pass in
-	// which the task still waited.
+	// reservationTime is how long a worker stays reserved for a task after the last scheduling
+	// pass in which the task waited.
 	reservationTime = 500 * time.Millisecond
 	// maxReservedShare bounds the share of the candidates that are reserved at the same time.
-	// One of them may be reserved in any case.
+	// One candidate may be reserved even if that is a larger share.
 	maxReservedShare = 0.05
 )
 
@@ -16,15 +16,15 @@
 // smaller tasks of short jobs would use all capacity as soon as it becomes free, and there
 // would never be enough for the large task.
 func (o *Orchestrator) reserveWorker(t *task, workers []*worker) string {
-	const noRoom = "no worker has room"
+	const noCapacity = "no worker has room"
 	if !t.step.LongRunning || o.now.Sub(t.waitingSince) < longRunningMaxWait {
-		return noRoom
+		return noCapacity
 	}
 	reserved := 0
 	var best *worker
 	for _, w := range workers {
 		if w.atLimit(t.step) || w.free().covers(t.step.countedSize()) {
-			continue // it does not wait for capacity there
+			continue // the task does not wait for capacity on this worker
 		}
 		if w.reservedFor != nil && o.now.Before(w.reservedUntil) {
 			if w.reservedFor == t {
@@ -39,7 +39,7 @@
 		}
 	}
 	if best == nil || best.reservedFor != t && reserved >= max(1, int(maxReservedShare*float64(len(workers)))) {
-		return noRoom
+		return noCapacity
 	}
 	best.reservedFor, best.reservedUntil = t, o.now.Add(reservationTime)
 	return "worker " + best.ID + " is reserved for the task until it has enough free capacity"
--- a/internal/orchestrator/run.go
+++ b/internal/orchestrator/run.go
@@ -18,7 +18,7 @@
 )
 
 // stopTimeout is how long a run may still be listed as running after its stop was answered,
-// before the stop is sent again. The platform's workers end a run within a second of a stop.
+// until the stop is sent again. The platform's workers end a run within a second of a stop.
 const stopTimeout = 2 * time.Second
 
 // probeDuration is how long a long-running task must run on a quarantined worker before the
@@ -26,7 +26,7 @@
 const probeDuration = 1500 * time.Millisecond
 
 // unknownSpeed is the confirmed speed of a run whose last throttle command got no answer or
-// came from an earlier leader.
+// was sent by an earlier leader.
 const unknownSpeed = -1
 
 type run struct {
@@ -43,14 +43,14 @@
 	ticket           string
 	progressPercent  int
 	progressAt       time.Time // when progressPercent last changed
-	ownLoad          float64   // utilization that its own callers cause; latency-critical tasks only
+	ownLoad          float64   // utilization that the task's own callers cause; latency-critical tasks only
 	tailRatio        float64   // measured tail latency as a share of the latency target
 	targetSpeed      int       // speed limit in percent
 	confirmedSpeed   int       // speed limit in percent that the worker has confirmed, or unknownSpeed
 	throttleSentAt   time.Time
 	throttleInFlight bool
 	nextMoveSearch   time.Time // earliest time of the next search for a better worker
-	throttled        bool      // it may have run below full speed at some time
+	throttled        bool      // the run may have been below full speed at some time
 }
 
 func (r *run) key() runKey { return runKey{r.task.name, r.number} }
@@ -68,7 +68,7 @@
 }
 
 // effectiveSpeed returns the speed limit of a run in percent: the confirmed one, or the
-// targeted one if that is unknown.
+// target if the confirmed one is unknown.
 func (r *run) effectiveSpeed() int {
 	if r.confirmedSpeed < 0 {
 		return r.targetSpeed
@@ -130,15 +130,15 @@
 func (o *Orchestrator) start(t *task, w *worker, number int, ticket string) *run {
 	r := o.addRun(t, w, number, phaseStarting)
 	r.saved, r.ticket = t.saved, ticket
-	o.send(r)
+	o.sendStart(r)
 	return r
 }
 
-// send sends a run's start, unless its lease would be shorter than minLease.
-func (o *Orchestrator) send(r *run) {
-	d, ok := o.deadline(r.worker)
+// sendStart sends a run's start, unless its lease would be shorter than minLease.
+func (o *Orchestrator) sendStart(r *run) {
+	d, ok := o.grantLease(r.worker)
 	if !ok {
-		return // sent again once the leadership has been confirmed
+		return // resendCommands sends it once the leadership has been confirmed
 	}
 	r.inFlight, r.sentAt = true, o.now
 	o.emit(StartRun{Worker: r.worker.ID, Task: r.task.name, Run: r.number, Spec: r.task.job().Spec, LeaseEnd: d, Saved: r.saved, Ticket: r.ticket})
@@ -156,8 +156,8 @@
 	}
 	switch e.Outcome {
 	case StartAccepted, StartSuperseded:
-		// After StartSuperseded the run has ended there, and the next poll lists its end.
-		o.accepted(r)
+		// After StartSuperseded the run has ended on the worker, and the next poll lists its end.
+		o.startAccepted(r)
 	case StartFenced:
 		o.stepDown("worker " + w.ID + " has accepted a later leader")
 	case StartReplaced:
@@ -168,7 +168,7 @@
 		w.unansweredAt = o.now
 		o.startNotExecuted(r)
 	case StartNoCapacity:
-		w.noRoomUntil = o.now.Add(resendInterval)
+		w.noCapacityUntil = o.now.Add(resendInterval)
 		o.startNotExecuted(r)
 	case StartUnhealthy:
 		o.recordRunOutcome(w, r.task.job(), true)
@@ -181,8 +181,8 @@
 	}
 }
 
-// accepted handles a start that the worker has accepted.
-func (o *Orchestrator) accepted(r *run) {
+// startAccepted handles a start that the worker has accepted.
+func (o *Orchestrator) startAccepted(r *run) {
 	if r.ackedAt.IsZero() {
 		r.ackedAt = o.now
 		r.startedAt = o.now
@@ -199,8 +199,9 @@
 	}
 }
 
-// startNotExecuted handles a start that the worker has not executed. If an earlier send of
-// it got no answer, the run must be stopped before the task can start elsewhere.
+// startNotExecuted handles a start that the worker has not executed. If the start was sent
+// before without an answer, that command may still be executed, and the run must be stopped
+// before the task can start elsewhere.
 func (o *Orchestrator) startNotExecuted(r *run) {
 	if r.startUnanswered {
 		o.stop(r, "an unanswered start of the run must not be executed later")
@@ -211,15 +212,15 @@
 	}
 }
 
-// resendCommands sends a start or stop again that got no answer.
+// resendCommands sends a run's start or stop again if it got no answer.
 func (o *Orchestrator) resendCommands(r *run) {
 	w := r.worker
-	if r.inFlight || w.unreachable || !w.resolved || o.now.Sub(r.sentAt) < resendInterval {
+	if r.inFlight || w.unreachable || !w.runsKnown || o.now.Sub(r.sentAt) < resendInterval {
 		return
 	}
 	switch {
 	case r.phase == phaseStarting:
-		o.send(r)
+		o.sendStart(r)
 	case r.phase == phaseStopping && r.ackedAt.IsZero():
 		o.sendStop(r)
 	}
@@ -265,7 +266,7 @@
 	}
 }
 
-// findRun returns a run on a worker, nil if there is none.
+// findRun returns a run on a worker, or nil if there is none.
 func (o *Orchestrator) findRun(worker, task string, number int) *run {
 	w := o.workers[worker]
 	if w == nil {
@@ -274,8 +275,9 @@
 	return w.runs[runKey{task, number}]
 }
 
-// adopt adds a run that a worker lists and this leader has not started, or has removed. It
-// returns nil if the run must be stopped.
+// adopt adds a run that a worker lists and the leader does not have: an earlier leader has
+// started it, or this leader has removed it. If the task must not have the run, adopt stops
+// the run and returns nil.
 func (o *Orchestrator) adopt(w *worker, row RunningRun) *run {
 	t := o.findTask(row.Task)
 	reason := ""
@@ -295,7 +297,7 @@
 		return nil
 	}
 	r := o.addRun(t, w, row.Run, phaseRunning)
-	o.accepted(r)
+	o.startAccepted(r)
 	r.progressPercent, r.confirmedSpeed, r.throttled = row.Percent, unknownSpeed, true
 	o.emit(Note{Event: EventAdopt, Job: t.job().ID, Task: t.name, Run: row.Run, Worker: w.ID, Figures: fmt.Sprintf("Percent=%d", row.Percent)})
 	return r
@@ -308,7 +310,7 @@
 	}
 	if r.phase == phaseStarting {
 		r.startUnanswered = false
-		o.accepted(r)
+		o.startAccepted(r)
 	}
 	if r.phase == phaseStopping && !r.ackedAt.IsZero() && o.now.Sub(r.ackedAt) > stopTimeout {
 		r.ackedAt = time.Time{}
@@ -356,14 +358,14 @@
 	if !t.expiredRuns[row.Run] {
 		o.applyOutcome(t, w, row)
 	}
-	o.change(j)
+	o.markDirty(j)
 	w.unackedEnds = append(w.unackedEnds, appliedEnd{number: row.Number, job: j, version: j.version})
 }
 
 func (o *Orchestrator) noteEnd(r *run, row EndedRun) {
-	expected := r.task.step.expected(o.stats(r.task.job().Policy.Queue).runTimeRatio)
+	expected := r.task.step.expectedRunTime(o.stats(r.task.job().Policy.Queue).runTimeRatio)
 	o.emit(Note{Event: EventEnd, Job: r.task.job().ID, Task: row.Task, Run: row.Run, Worker: r.worker.ID, Outcome: string(row.How), Age: o.now.Sub(r.startedAt),
-		Figures: fmt.Sprintf("Expected=%s Pace=%d%% Unused=%.1f Filling=%.1f", expected.Round(time.Millisecond), r.targetSpeed, float64(r.worker.unused())/1000, float64(r.worker.load.bestEffort)/1000)})
+		Figures: fmt.Sprintf("Expected=%s Pace=%d%% Unused=%.1f Filling=%.1f", expected.Round(time.Millisecond), r.targetSpeed, float64(r.worker.unusedCPU())/1000, float64(r.worker.load.bestEffort)/1000)})
 }
 
 func (o *Orchestrator) applyOutcome(t *task, w *worker, row EndedRun) {
@@ -384,15 +386,15 @@
 		}
 	case EndFailed:
 		o.recordRunOutcome(w, j, true)
-		t.avoidWorker(w)
+		t.markUnsuitable(w)
 		o.countFailure(t, row.Run)
 	case EndStopped, EndExpired, EndGangBroken, EndGangIncomplete:
-		// Not the task's own failure: it starts again and the attempt does not count.
+		// The run did not fail by itself: the task starts again and the attempt does not count.
 	}
 }
 
-// avoidWorker lowers a worker's score for the task from now on.
-func (t *task) avoidWorker(w *worker) {
+// markUnsuitable lowers a worker's score for the task from now on.
+func (t *task) markUnsuitable(w *worker) {
 	if t.unsuitableWorkers == nil {
 		t.unsuitableWorkers = make(map[string]bool)
 	}
@@ -411,8 +413,8 @@
 		return
 	}
 	t.failed = append(t.failed, number)
-	if len(t.failed) >= t.attempts() {
-		o.finish(t.job(), StateFailed, fmt.Sprintf("task %s failed %d times and has no attempts left", t.name, len(t.failed)))
+	if len(t.failed) >= t.maxAttempts() {
+		o.finishJob(t.job(), StateFailed, fmt.Sprintf("task %s failed %d times and has no attempts left", t.name, len(t.failed)))
 	}
 }
 
@@ -425,12 +427,12 @@
 	}
 	took := o.now.Sub(r.startedAt)
 	qs := o.stats(r.task.job().Policy.Queue)
-	if expected := s.expected(qs.runTimeRatio); expected > 0 && !s.Fills {
+	if expected := s.expectedRunTime(qs.runTimeRatio); expected > 0 && !s.Fills {
 		r.worker.slowdown += slowdownWeight * (float64(took)/float64(expected) - r.worker.slowdown)
 	}
 	if s.runTimeSamples >= minVarianceSamples && took > 0 {
 		d := math.Log(float64(took) / float64(s.meanRunTime))
-		qs.runTimeVariance += queueStatsWeight * (min(d*d, maxVariance) - qs.runTimeVariance)
+		qs.runTimeVariance += queueStatsWeight * (min(d*d, maxSquaredDeviation) - qs.runTimeVariance)
 	}
 	s.runTimeSamples++
 	s.meanRunTime += (took - s.meanRunTime) / time.Duration(s.runTimeSamples)
@@ -440,17 +442,19 @@
 }
 
 const (
-	slowdownWeight   = 0.2  // of one run in a worker's slowdown
-	queueStatsWeight = 0.02 // of one run in the queue's statistics
-	// minVarianceSamples is how many tasks of a step must have ended before the deviation of
-	// others from their mean run time is used.
+	slowdownWeight   = 0.2  // weight of one run in a worker's slowdown
+	queueStatsWeight = 0.02 // weight of one run in its queue's statistics
+	// minVarianceSamples is the number of measured tasks of a step from which the deviation of
+	// further tasks from the mean run time counts for the queue's variance.
 	minVarianceSamples = 3
-	maxVariance        = 1.0 // bounds the effect of one straggler on the queue's variance
+	// maxSquaredDeviation bounds the effect of one straggler on the queue's variance.
+	maxSquaredDeviation = 1.0
 )
 
-// expected returns the expected run time of a task of the step: the mean of its measured
-// tasks, or the estimate times the queue's ratio of measured run times to estimates.
-func (s *step) expected(ratio float64) time.Duration {
+// expectedRunTime returns the expected run time of a task of the step: the mean of its
+// measured tasks, or the estimate times ratio, the queue's ratio of measured run times to
+// estimates.
+func (s *step) expectedRunTime(ratio float64) time.Duration {
 	if s.runTimeSamples > 0 {
 		return s.meanRunTime
 	}
@@ -458,8 +462,9 @@
 }
 
 // longestFactor returns the expected run time of the longest of n tasks of a step as a
-// multiple of the mean. Run times are modelled as log-normal; sqrt(2 ln n) - 0.6 is within
-// 0.05 of the mean of the largest of n normal values for n from 2 to 40.
+// multiple of their mean run time. Run times are modelled as log-normal;
+// sqrt(2 ln n) - 0.6 is within 0.05 of the mean of the largest of n normal values for n
+// from 2 to 40.
 func (qs *queueStats) longestFactor(n int) float64 {
 	if n < 2 {
 		return 1
@@ -467,8 +472,9 @@
 	return math.Exp(math.Sqrt(qs.runTimeVariance) * (math.Sqrt(2*math.Log(float64(n))) - 0.6))
 }
 
-// remaining returns how much longer a run is expected to take.
-func (r *run) remaining(now time.Time, ratio float64) time.Duration {
+// remainingRunTime returns how much longer a run is expected to take. ratio is the queue's
+// ratio of measured run times to estimates.
+func (r *run) remainingRunTime(now time.Time, ratio float64) time.Duration {
 	elapsed := now.Sub(r.startedAt)
 	if r.task.step.LongRunning {
 		return time.Hour // until the job is cancelled
@@ -476,7 +482,7 @@
 	if r.progressPercent > 5 && r.progressPercent < 100 {
 		return elapsed * time.Duration(100-r.progressPercent) / time.Duration(r.progressPercent)
 	}
-	return max(0, r.task.step.expected(ratio)-elapsed)
+	return max(0, r.task.step.expectedRunTime(ratio)-elapsed)
 }
 
 // removeFinishedJob removes a job if its final state is in the store and it has no runs left.
@@ -512,15 +518,17 @@
 	version uint64
 }
 
-// batchDelay is how long changes are collected that no caller waits for. Ends of runs are
-// acknowledged only after it, and until then each poll lists them again.
+// batchDelay is how long changes that no caller waits for are collected before they are
+// written. Ends of runs are acknowledged only after the write; until then each poll lists
+// them again.
 const batchDelay = 80 * time.Millisecond
 
 // statisticsInterval is the pause between two writes of the leader's workload statistics.
 const statisticsInterval = 2 * time.Second
 
-// NextBatch returns the most urgent changes, of at most limit jobs, and false if there are
-// none. all includes changes that are younger than batchDelay.
+// NextBatch returns the most urgent changes, of at most limit jobs, and false if neither a
+// record nor the roster is to be written. all includes changes that are younger than
+// batchDelay.
 func (o *Orchestrator) NextBatch(limit int, all bool, now time.Time) (Batch, bool) {
 	var b Batch
 	for _, final := range []bool{true, false} {
@@ -551,7 +559,8 @@
 	return b, len(b.Entries) > 0 || b.Roster != nil
 }
 
-// HasUnwrittenChanges reports whether there are changes that the store does not have yet.
+// HasUnwrittenChanges reports whether records or the roster have changes that are not in the
+// store yet.
 func (o *Orchestrator) HasUnwrittenChanges() bool {
 	return len(o.dirty) > 0 || len(o.expired) > 0 || o.rosterWritten < o.rosterVersion
 }
--- a/internal/orchestrator/simulation_test.go
+++ b/internal/orchestrator/simulation_test.go
@@ -19,25 +19,25 @@
 	now             time.Time
 	rng             *rand.Rand
 	epoch           uint64
-	workers         map[string]*fakeWorker
-	leaders         []*fakeLeader
+	workers         map[string]*simulatedWorker
+	leaders         []*simulatedLeader
 	jobs            map[string]orchestrator.Job
 	storedRecords   map[string]orchestrator.Record
 	cancelRequests  map[string]bool
 	roster          orchestrator.Roster
 	currentLeader   int // index of the leader whose writes the store accepts
 	pendingCommands []pendingCommand
-	done            map[string]bool // tasks with an acknowledged end as done
+	done            map[string]bool // tasks whose successful end has been acknowledged
 	failed          map[string]int  // number of acknowledged failures, by task
 	starts          int
 	faults          faults
 	succeeds        func(task string, run int) bool // whether a run ends as done
-	runTime         func(task string, w *fakeWorker) time.Duration
+	runTime         func(task string, w *simulatedWorker) time.Duration
 	notes           []orchestrator.Note
 	wallOffset      time.Duration
 }
 
-// faults are probabilities.
+// faults holds the probability of each fault of a command.
 type faults struct {
 	dropped     float64 // a command gets no answer and is not executed
 	appliedLate float64 // a command gets no answer and is executed 2 to 12 s later
@@ -46,13 +46,13 @@
 // pendingCommand is a command on the way to a worker.
 type pendingCommand struct {
 	at     time.Time // of its arrival
-	worker string    // worker that executes it late, after it got no answer; else empty
-	leader *fakeLeader
+	worker string    // worker that executes the command late, after the leader got no answer; otherwise empty
+	leader *simulatedLeader
 	action orchestrator.Action
 }
 
-// fakeRun is a run on a fakeWorker.
-type fakeRun struct {
+// simulatedRun is a run on a simulatedWorker.
+type simulatedRun struct {
 	task      string
 	number    int
 	startedAt time.Time
@@ -62,20 +62,20 @@
 	speed     int
 }
 
-// fakeWorker is a simulated worker.
-type fakeWorker struct {
+// simulatedWorker executes commands and answers polls as a worker of the platform does.
+type simulatedWorker struct {
 	entry            orchestrator.WorkerEntry
 	incarnation      int64
 	startedAt        time.Time
 	fence            uint64
 	leaseEnd         time.Duration // on the worker's clock
-	runs             map[string]*fakeRun
+	runs             map[string]*simulatedRun
 	lastEndedRun     map[string]int // highest number of a run that was stopped or has ended, by task
 	ended            []orchestrator.EndedRun
 	endCount         int
 	ackedUpto        int
 	endsBeforeExpiry int // the lease has expired after the ends up to this number
-	unreachableFrom  map[*fakeLeader]bool
+	unreachableFrom  map[*simulatedLeader]bool
 	dead             bool
 	failsTasks       bool // each run ends as failed
 	hangsTasks       bool // runs make no progress
@@ -83,8 +83,8 @@
 	tailLatencyMs    map[string]int
 }
 
-// fakeLeader is an Orchestrator with its process and its connections.
-type fakeLeader struct {
+// simulatedLeader is an Orchestrator with its process and its connections.
+type simulatedLeader struct {
 	w                *simulation
 	id               int
 	epoch            uint64
@@ -105,11 +105,11 @@
 func newSimulation(t reporter, seed uint64) *simulation {
 	return &simulation{
 		t: t, now: time.Unix(1e9, 0), rng: rand.New(rand.NewPCG(seed, 1)),
-		workers: make(map[string]*fakeWorker), jobs: make(map[string]orchestrator.Job),
+		workers: make(map[string]*simulatedWorker), jobs: make(map[string]orchestrator.Job),
 		storedRecords: make(map[string]orchestrator.Record), cancelRequests: make(map[string]bool),
 		done: make(map[string]bool), failed: make(map[string]int),
 		succeeds: func(string, int) bool { return true },
-		runTime:  func(string, *fakeWorker) time.Duration { return time.Second },
+		runTime:  func(string, *simulatedWorker) time.Duration { return time.Second },
 	}
 }
 
@@ -125,12 +125,12 @@
 	return w
 }
 
-func (w *simulation) addWorker(name string, capacity orchestrator.Resources, rack string) *fakeWorker {
-	k := &fakeWorker{
+func (w *simulation) addWorker(name string, capacity orchestrator.Resources, rack string) *simulatedWorker {
+	k := &simulatedWorker{
 		entry: orchestrator.WorkerEntry{ID: name, Service: "s", Capacity: capacity, Rack: rack, Labels: []string{"a", rack},
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(len(w.workers) + 1)}), 80)},
-		incarnation: w.now.UnixMilli(), startedAt: w.now, runs: make(map[string]*fakeRun), lastEndedRun: make(map[string]int),
-		unreachableFrom: make(map[*fakeLeader]bool), tailLatencyMs: make(map[string]int),
+		incarnation: w.now.UnixMilli(), startedAt: w.now, runs: make(map[string]*simulatedRun), lastEndedRun: make(map[string]int),
+		unreachableFrom: make(map[*simulatedLeader]bool), tailLatencyMs: make(map[string]int),
 	}
 	w.workers[name] = k
 	return k
@@ -148,9 +148,9 @@
 }
 
 // elect adds a new leader. From then on the store accepts only its writes.
-func (w *simulation) elect(handedOff bool) *fakeLeader {
+func (w *simulation) elect(handedOff bool) *simulatedLeader {
 	w.epoch += 100
-	l := &fakeLeader{w: w, id: len(w.leaders), epoch: w.epoch, watched: make(map[string]bool), polledAt: make(map[string]time.Time)}
+	l := &simulatedLeader{w: w, id: len(w.leaders), epoch: w.epoch, watched: make(map[string]bool), polledAt: make(map[string]time.Time)}
 	l.o = orchestrator.New(orchestrator.Settings{
 		Epoch: w.epoch, ElectedAt: w.now, ConfirmedAt: w.now, Lease: 4500 * time.Millisecond, LeaderLease: 9 * time.Second,
 		MaxLease: 10 * time.Second, Retention: time.Hour, RemoteSlowdown: 3,
@@ -174,7 +174,7 @@
 	return l
 }
 
-func (w *simulation) leader() *fakeLeader { return w.leaders[w.currentLeader] }
+func (w *simulation) leader() *simulatedLeader { return w.leaders[w.currentLeader] }
 
 // submit stores a job under the current leader.
 func (w *simulation) submit(j orchestrator.Job) {
@@ -195,7 +195,7 @@
 }
 
 // step passes an event to the leader, unless its process is frozen or has stepped down.
-func (l *fakeLeader) step(e orchestrator.Event) {
+func (l *simulatedLeader) step(e orchestrator.Event) {
 	if l.deposed {
 		return
 	}
@@ -212,7 +212,7 @@
 }
 
 // handleAction handles an action of the leader.
-func (l *fakeLeader) handleAction(a orchestrator.Action) {
+func (l *simulatedLeader) handleAction(a orchestrator.Action) {
 	w := l.w
 	switch a := a.(type) {
 	case orchestrator.StartPolling:
@@ -281,13 +281,13 @@
 }
 
 // clock returns the worker's clock, which is 2% slow, the most that the platform allows.
-func (k *fakeWorker) clock(now time.Time) time.Duration {
+func (k *simulatedWorker) clock(now time.Time) time.Duration {
 	return time.Duration(0.98 * float64(now.Sub(k.startedAt)))
 }
 
 // execute executes a command and returns its outcome. A stop or a throttle command that the
 // worker has executed returns StartAccepted too.
-func (k *fakeWorker) execute(w *simulation, c pendingCommand) orchestrator.StartOutcome {
+func (k *simulatedWorker) execute(w *simulation, c pendingCommand) orchestrator.StartOutcome {
 	if c.leader.epoch < k.fence {
 		return orchestrator.StartFenced
 	}
@@ -313,7 +313,7 @@
 }
 
 // startRun executes a start.
-func (k *fakeWorker) startRun(w *simulation, a orchestrator.StartRun) orchestrator.StartOutcome {
+func (k *simulatedWorker) startRun(w *simulation, a orchestrator.StartRun) orchestrator.StartOutcome {
 	if r := k.runs[a.Task]; r != nil && r.number == a.Run {
 		return orchestrator.StartAccepted
 	}
@@ -326,13 +326,13 @@
 	k.leaseEnd = max(k.leaseEnd, min(a.LeaseEnd, k.clock(w.now)+10*time.Second))
 	w.checkStart(k, a)
 	w.starts++
-	r := &fakeRun{task: a.Task, number: a.Run, startedAt: w.now, endsAt: w.now.Add(w.runTime(a.Task, k)), saved: a.Saved, speed: 100}
+	r := &simulatedRun{task: a.Task, number: a.Run, startedAt: w.now, endsAt: w.now.Add(w.runTime(a.Task, k)), saved: a.Saved, speed: 100}
 	k.runs[a.Task] = r
 	return orchestrator.StartAccepted
 }
 
 // checkStart fails the test if a start breaks a guarantee.
-func (w *simulation) checkStart(k *fakeWorker, a orchestrator.StartRun) {
+func (w *simulation) checkStart(k *simulatedWorker, a orchestrator.StartRun) {
 	j := w.jobs[strings.SplitN(a.Task, ".", 2)[0]]
 	var number, index, task int
 	if _, err := fmt.Sscanf(a.Task[len(j.ID):], ".%d.%d.%d", &number, &index, &task); err != nil {
@@ -403,7 +403,7 @@
 }
 
 // advance ends the runs on a worker that are due or whose lease has expired.
-func (k *fakeWorker) advance(w *simulation) {
+func (k *simulatedWorker) advance(w *simulation) {
 	expired := k.clock(w.now) >= k.leaseEnd
 	if expired {
 		k.endsBeforeExpiry = k.endCount
@@ -442,8 +442,8 @@
 	return j.Steps[index].LongRunning
 }
 
-// poll is one poll of a leader at a worker.
-func (l *fakeLeader) poll(k *fakeWorker) {
+// poll sends one poll of the leader to a worker and passes the result to the leader.
+func (l *simulatedLeader) poll(k *simulatedWorker) {
 	w := l.w
 	r, ok := l.o.NextPoll(k.entry.ID, w.now)
 	if !ok || l.deposed || l.frozen {
@@ -483,9 +483,8 @@
 }
 
 // acknowledge records the ends that the leader acknowledges. Ends before the expiry of the
-// lease do not count, because the leader may have
-// expired their runs.
-func (k *fakeWorker) acknowledge(w *simulation, upto int) {
+// lease do not count, because the leader may have expired their runs.
+func (k *simulatedWorker) acknowledge(w *simulation, upto int) {
 	for _, e := range k.ended {
 		if e.Number > max(k.ackedUpto, k.endsBeforeExpiry) && e.Number <= upto {
 			switch e.How {
@@ -502,7 +501,7 @@
 
 // write writes a leader's changes to the store, which accepts only those of the current
 // leader.
-func (l *fakeLeader) write(all bool) {
+func (l *simulatedLeader) write(all bool) {
 	if l.storeUnreachable || l.deposed || l.frozen {
 		return
 	}
@@ -521,8 +520,9 @@
 	l.step(orchestrator.Written{Batch: b})
 }
 
-// catchUp reads the jobs and cancel requests from the store, for those whose notice was lost.
-func (l *fakeLeader) catchUp() {
+// catchUp passes the jobs and cancel requests in the store to the leader again, because it may
+// have missed their events.
+func (l *simulatedLeader) catchUp() {
 	for _, id := range slices.Sorted(maps.Keys(l.w.jobs)) {
 		if r, ok := l.w.storedRecords[id]; !ok || !r.State.Final() {
 			l.step(orchestrator.JobAccepted{Job: l.w.jobs[id], Revision: l.w.jobs[id].Epoch + 1})
@@ -535,7 +535,7 @@
 
 // handOver ends a leadership cleanly and reports whether its records name the workers of all
 // runs.
-func (l *fakeLeader) handOver() bool {
+func (l *simulatedLeader) handOver() bool {
 	l.step(orchestrator.HandOver{})
 	clean := l.o.RecordsNameAllRuns()
 	for range 1000 {
--- a/internal/orchestrator/throttle.go
+++ b/internal/orchestrator/throttle.go
@@ -8,25 +8,27 @@
 
 const (
 	// throttleInterval is the pause between two changes of the speed limits on a worker. Tail
-	// latencies cover the last half second, so that after a shorter pause they would show the
+	// latencies cover the last half second: after a shorter pause they would still show the
 	// state before the last change.
 	throttleInterval = 600 * time.Millisecond
 	// throttleResendInterval is the pause before a throttle command without an answer is sent
 	// again.
 	throttleResendInterval = 500 * time.Millisecond
-	// maxTailRatio is the tail latency, as a share of the latency target, from which a task is
-	// over its target.
+	// maxTailRatio is the tail latency, as a share of the latency target, from which a task
+	// counts as over its target.
 	maxTailRatio = 1.0
 	// maxTimeOverTarget is how long a task may be over its target before all best-effort tasks
-	// beside it are halted. The platform's callers count four seconds over it as a violation.
+	// beside it are halted. The platform's callers count four seconds over the target as a
+	// violation.
 	maxTimeOverTarget = 1500 * time.Millisecond
 	// throttleUtilization is the utilization to which best-effort tasks may raise a
 	// latency-critical task.
 	throttleUtilization = 0.73
-	// minContributionShare is the share of the utilization that all best-effort tasks add to a
-	// latency-critical one from which a single task of them is throttled.
+	// A best-effort task is throttled for a latency-critical one only if it adds at least
+	// minContributionShare of the utilization that all best-effort tasks together add to it.
 	minContributionShare = 0.15
-	// negligibleUtilization is the added utilization below which a task is not throttled.
+	// negligibleUtilization is the added utilization below which a best-effort task is not
+	// throttled.
 	negligibleUtilization = 0.01
 	// maxSpeedIncrease is how much a speed limit may rise in one change, in percent of the
 	// full speed.
@@ -36,9 +38,10 @@
 	minSpeedChange = 10
 	// minRunSpeed is the speed limit in percent below which a best-effort task is halted.
 	minRunSpeed = 12
-	// A best-effort task with a speed limit below moveMaxSpeed percent is moved to another
-	// worker once it has run for moveMinRunTime.
-	moveMaxSpeed   = 40
+	// moveMaxSpeed is the speed limit in percent below which a best-effort task is moved to
+	// another worker.
+	moveMaxSpeed = 40
+	// moveMinRunTime is the run time from which a throttled task may be moved.
 	moveMinRunTime = 800 * time.Millisecond
 	// moveMaxProgress is the progress in percent up to which a throttled task without
 	// checkpoints is moved.
@@ -48,11 +51,11 @@
 
 	// hangTimeout is how long a run may report no progress before it counts as hung.
 	hangTimeout = 1500 * time.Millisecond
-	// stragglerFactor is the projected run time, as a multiple of the expected one, from
-	// which a run is moved or copied.
+	// stragglerFactor is the projected run time, as a multiple of the expected one, above which
+	// a run counts as slow. Slow runs are moved or copied.
 	stragglerFactor = 2.0
-	// stragglerMinRunTime is the run time from which a run may count as hung or slow, and how
-	// much longer than the expected run time it must still need to count as slow.
+	// stragglerMinRunTime is the run time from which a run may count as hung or slow. The
+	// remaining time of a slow run must also exceed the expected run time by as much.
 	stragglerMinRunTime = 600 * time.Millisecond
 	// moveSearchInterval is the pause between two searches for a better worker for one run.
 	moveSearchInterval = 300 * time.Millisecond
@@ -63,14 +66,14 @@
 )
 
 // throttle sets the speed limits of the best-effort tasks on a worker to the highest that the
-// latency-critical tasks beside them allow, and sends those that are not confirmed.
+// latency-critical tasks beside them allow, and sends limits that the worker has not confirmed.
 func (o *Orchestrator) throttle(w *worker) {
-	if w.load.latencyCritical > 0 && w.tailAt.After(w.throttledAt) && o.now.Sub(w.throttledAt) >= throttleInterval {
+	if w.load.latencyCritical > 0 && w.tailRatioAt.After(w.throttledAt) && o.now.Sub(w.throttledAt) >= throttleInterval {
 		before := w.minSpeed
 		o.setSpeeds(w)
 		if w.minSpeed != before {
 			w.throttledAt = o.now
-			o.emit(Note{Event: EventThrottle, Worker: w.ID, Outcome: fmt.Sprintf("%d%%", w.minSpeed), Age: o.now.Sub(w.tailAt),
+			o.emit(Note{Event: EventThrottle, Worker: w.ID, Outcome: fmt.Sprintf("%d%%", w.minSpeed), Age: o.now.Sub(w.tailRatioAt),
 				Figures: fmt.Sprintf("Tail=%.2f Before=%d%%", w.tailRatio, before)})
 		}
 	}
@@ -89,7 +92,7 @@
 	if w.tailRatio < maxTailRatio {
 		w.overTargetSince = time.Time{}
 	} else if w.overTargetSince.IsZero() {
-		w.overTargetSince = w.tailAt
+		w.overTargetSince = w.tailRatioAt
 	}
 	w.minSpeed = 100
 	full := w.bestEffortLoads(func(*run) int { return 100 })
@@ -103,7 +106,7 @@
 		}
 		next := 100
 		if !w.overTargetSince.IsZero() && o.now.Sub(w.overTargetSince) >= maxTimeOverTarget {
-			next = 0 // a task here interferes, whatever the model predicts
+			next = 0 // best-effort tasks interfere here, whatever the model predicts
 		} else {
 			next = o.allowedSpeed(w, r, full, current)
 		}
@@ -120,8 +123,8 @@
 
 // allowedSpeed returns the speed limit in percent at which a best-effort task keeps all
 // latency-critical tasks beside it below throttleUtilization, if the other best-effort tasks
-// are throttled alike. full and current are the loads of the best-effort tasks at full speed
-// and at their present speed.
+// are throttled to the same percentage. full and current are results of bestEffortLoads, at
+// full speed and at the present speeds.
 func (o *Orchestrator) allowedSpeed(w *worker, bestEffort *run, full, current map[string]float64) int {
 	speed := 1.0
 	for _, r := range w.runs {
@@ -155,7 +158,7 @@
 	}
 	workers, _ := o.candidates(s)
 	for _, w := range workers {
-		if w != r.worker && o.fits(t, w) && w.unused() >= s.Size.CPU && (o.headroomWith(s, w) > moveMinHeadroom || o.harmless(s, w)) {
+		if w != r.worker && o.fits(t, w) && w.unusedCPU() >= s.Size.CPU && (o.headroomWith(s, w) > moveMinHeadroom || o.harmless(s, w)) {
 			t.moves++
 			o.stop(r, "slowed for the sake of a task with a latency target")
 			return
@@ -163,8 +166,8 @@
 	}
 }
 
-// moveSearchDue reports whether a search for a better worker for a run is due, and sets the
-// time of the next one. Each search goes through all workers.
+// moveSearchDue reports whether a search for a better worker for a run is due. If so, it sets
+// the earliest time of the next search, because each goes through all workers.
 func (o *Orchestrator) moveSearchDue(r *run) bool {
 	if o.now.Before(r.nextMoveSearch) {
 		return false
@@ -181,7 +184,7 @@
 	r.throttleInFlight = false
 	if e.Answered {
 		r.confirmedSpeed = e.Percent
-		r.progressAt = o.now // the time without progress counts from the new speed limit on
+		r.progressAt = o.now // the time without progress counts from the change of the speed limit
 	} else {
 		r.confirmedSpeed = unknownSpeed
 	}
@@ -195,7 +198,7 @@
 		return
 	}
 	elapsed := o.now.Sub(r.startedAt)
-	expected := s.expected(o.stats(t.job().Policy.Queue).runTimeRatio)
+	expected := s.expectedRunTime(o.stats(t.job().Policy.Queue).runTimeRatio)
 	if elapsed < stragglerMinRunTime || expected <= 0 {
 		return
 	}
@@ -219,7 +222,7 @@
 		reason = "the run is slower than expected"
 	}
 	t.moves++
-	t.avoidWorker(w)
+	t.markUnsuitable(w)
 	w.slowdown = max(w.slowdown, stragglerFactor)
 	if hung {
 		o.quarantine(w, Note{Reason: "a run stands still", Age: o.now.Sub(r.progressAt)})
--- a/internal/orchestrator/worker.go
+++ b/internal/orchestrator/worker.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// unlistedGrace is how long a worker stays usable after its discovery entry has gone:
-	// entries return within two seconds of a store outage.
+	// unlistedGrace is how long a worker stays usable after its discovery entry has gone. After
+	// a store outage, the entries are back within two seconds.
 	unlistedGrace = 2500 * time.Millisecond
-	// resendInterval is the pause before a start or stop without an answer is sent again, and
-	// before a worker that reported too little capacity gets another start.
+	// resendInterval is the pause before a start or stop without an answer is sent again. It is
+	// also the pause before a worker that refused a start for lack of capacity gets another.
 	resendInterval = 300 * time.Millisecond
-	// quarantineStreak is the number of failed runs in a row, of different jobs, from which
-	// a worker gets no new work for quarantineTime.
+	// quarantineStreak is the number of failed runs in a row, of different jobs, after which a
+	// worker is quarantined.
 	quarantineStreak = 2
-	quarantineTime   = 3 * time.Second
+	// quarantineTime is how long a quarantined worker gets no new work.
+	quarantineTime = 3 * time.Second
 	// defaultDrainTime is how long a draining worker is expected to run tasks if it does not
 	// report the time left.
 	defaultDrainTime = 2 * time.Second
@@ -32,27 +33,27 @@
 
 type worker struct {
 	WorkerEntry
-	listed        bool
-	unlistedAt    time.Time
-	watched       bool
-	rosterPending bool // its roster entry is to be written
-	rostered      bool // the roster in the store lists it as a worker that may run tasks
-	idle          bool // no run that any leader started can be there
-	inherited     bool // an earlier leader may have started tasks, and it has not answered this leader yet
-	resolved      bool // it has answered this leader, or every lease of an earlier leader has ended
+	listed               bool      // discovery lists the worker
+	unlistedAt           time.Time // when its discovery entry was removed
+	polled               bool      // a StartPolling for its address has been emitted
+	rosterPending        bool      // its changed roster entry is not in the store yet
+	rostered             bool      // the roster in the store lists it as a worker that may run tasks
+	idle                 bool      // no run of any leader can be on it
+	mayRunInheritedTasks bool      // an earlier leader may have started tasks on it, and it has not answered this leader yet
+	runsKnown            bool      // its runs are known: it has answered this leader, or every lease of an earlier leader has ended
 
 	incarnation  int64
-	clock        time.Duration // at clockAt, on the worker's clock
+	clock        time.Duration // the worker's clock at clockAt
 	clockAt      time.Time
 	hasClock     bool
-	leasesEnd    time.Time // by then every lease that has been sent to it has ended
-	pollSentAt   time.Time
-	answeredAt   time.Time
+	leasesEnd    time.Time // latest end of the leases that have been sent to it
+	pollSentAt   time.Time // when the last answered poll was sent
+	answeredAt   time.Time // when the answer to that poll arrived
 	unreachable  bool      // the last poll failed
 	unansweredAt time.Time // when a start or stop last got no answer
 
 	runs map[runKey]*run
-	used Resources // by runs; without the processors of best-effort tasks
+	used Resources // resources of its runs, without the processors of best-effort tasks
 	load struct {
 		latencyCritical int // millicores of latency-critical tasks
 		bestEffort      int // millicores of best-effort tasks at full speed
@@ -67,22 +68,22 @@
 	failureStreak    int // failed runs in a row
 	lastFailedJob    string
 	quarantinedUntil time.Time
-	probing          bool      // gets one task at a time until one succeeds
-	probe            *run      // that task, nil while there is none
+	probing          bool      // it gets one task at a time until one succeeds
+	probe            *run      // run of that task; nil: none
 	slowdown         float64   // moving average of the ratio of measured to expected run time
-	noRoomUntil      time.Time // gets no starts until then, because it refused one for lack of capacity
-	reservedFor      *task     // other tasks do not start until reservedUntil
+	noCapacityUntil  time.Time // it gets no starts until then, because it refused one for lack of capacity
+	reservedFor      *task     // until reservedUntil only this task may start on it
 	reservedUntil    time.Time
-	tailRatio        float64 // highest tail latency of its tasks as a share of the target
-	tailAt           time.Time
+	tailRatio        float64   // highest tail latency of its tasks as a share of the latency target
+	tailRatioAt      time.Time // when the answer with tailRatio arrived
 	overTargetSince  time.Time // since when a task has been over its latency target; zero: none is
 	minSpeed         int       // lowest speed limit of a best-effort task, in percent
-	throttledAt      time.Time
+	throttledAt      time.Time // when throttle last changed minSpeed
 	headrooms        []headroom
-	headroomsValid   bool
+	headroomsValid   bool // headrooms may be used until they are headroomMaxAge old
 	headroomsAt      time.Time
-	drainLeft        time.Duration // how long it still serves while draining, as of drainLeftAt; 0: unknown
-	drainLeftAt      time.Time
+	drainRemaining   time.Duration // how long it still serves while draining, as of drainRemainingAt; 0: unknown
+	drainRemainingAt time.Time
 }
 
 // appliedEnd is the end of a run that may be acknowledged to the worker once the job's
@@ -93,8 +94,8 @@
 	version uint64
 }
 
-// maxLeaseTime returns the longest real time for which a lease can last on a worker with a
-// slow clock.
+// maxLeaseTime returns the longest real time that a lease can last: that on a worker with the
+// slowest clock.
 func maxLeaseTime(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease)/(1-clockDrift)) + leaseSlack
 }
@@ -107,7 +108,7 @@
 	return a
 }
 
-// worker returns the worker with an ID, which is added if it is missing.
+// worker returns the worker with an ID. A missing worker is added.
 func (o *Orchestrator) worker(id string) *worker {
 	w := o.workers[id]
 	if w == nil {
@@ -146,12 +147,12 @@
 			Figures: fmt.Sprintf("Service=%s FailureDomain=%s Rack=%s Cores=%.1f", e.Service, e.FailureDomain, e.Rack, float64(e.Capacity.CPU)/1000)})
 	}
 	if e.Draining && !w.Draining {
-		w.drainLeftAt = o.now
+		w.drainRemainingAt = o.now
 	}
 	moved := w.Address != e.Address
 	w.WorkerEntry, w.listed = e, true
-	if !w.watched || moved {
-		w.watched = true
+	if !w.polled || moved {
+		w.polled = true
 		o.emit(StartPolling{Worker: e})
 	}
 	o.enroll(w)
@@ -165,7 +166,8 @@
 	return "ready"
 }
 
-// enroll requests the write of a worker's roster entry, without which it gets no starts.
+// enroll requests the write of a worker's roster entry. The worker gets no starts before the
+// entry is in the store.
 func (o *Orchestrator) enroll(w *worker) {
 	if w.rosterPending || w.rostered && !w.idle || w.Draining {
 		return
@@ -175,7 +177,7 @@
 	o.emit(WriteSoon{})
 }
 
-// markIdle marks in the roster that no run can be on a worker.
+// markIdle marks in the roster that no run of any leader can be on a worker.
 func (o *Orchestrator) markIdle(w *worker) {
 	if !w.idle {
 		w.idle, w.rostered, w.rosterPending = true, false, false
@@ -196,22 +198,22 @@
 type PollRequest struct {
 	LeaseEnd  time.Duration // on the worker's clock; 0: leases are not extended
 	AckedUpto int           // ends up to this number are in the store
-	ShortWait bool          // the worker's figures are needed soon: it waits for changes only briefly
+	ShortWait bool          // the worker's tail latencies or runs are needed soon, so it waits for changes only briefly
 }
 
-// NextPoll returns the parameters of the next poll of a worker, and false if it must not be
-// polled any more.
+// NextPoll returns the parameters of the next poll of a worker, and false if the worker must
+// not be polled any more.
 func (o *Orchestrator) NextPoll(id string, now time.Time) (PollRequest, bool) {
 	w := o.workers[id]
 	if w == nil || o.deposed || o.leaving {
 		return PollRequest{}, false
 	}
 	o.now = now
-	r := PollRequest{AckedUpto: w.ackedUpto, ShortWait: w.load.latencyCritical > 0 && w.load.bestEffort > 0 || len(w.runs) == 0 && !w.resolved}
-	// A poll without an answer may still have arrived. If each try extended the leases of an
-	// unreachable worker, its runs would never expire.
+	r := PollRequest{AckedUpto: w.ackedUpto, ShortWait: w.load.latencyCritical > 0 && w.load.bestEffort > 0 || len(w.runs) == 0 && !w.runsKnown}
+	// A poll without an answer may still have reached the worker. If each such poll extended
+	// the leases of an unreachable worker, its runs would never expire.
 	if len(w.runs) > 0 && !w.unreachable {
-		r.LeaseEnd, _ = o.deadline(w)
+		r.LeaseEnd, _ = o.grantLease(w)
 	}
 	return r, true
 }
@@ -222,10 +224,9 @@
 	return w == nil || len(w.unackedEnds) == 0
 }
 
-// deadline returns the end of a lease that begins now, on the worker's clock, and records
-// that the worker may run tasks until then. It returns false if the lease would be shorter
-// than minLease.
-func (o *Orchestrator) deadline(w *worker) (time.Duration, bool) {
+// grantLease returns the end, on the worker's clock, of a lease that begins now, and updates
+// leasesEnd. It returns false if the lease would be shorter than minLease.
+func (o *Orchestrator) grantLease(w *worker) (time.Duration, bool) {
 	lease := min(o.settings.Lease, o.confirmedAt.Add(o.settings.LeaderLease).Sub(o.now))
 	if !w.hasClock || lease < minLease {
 		return 0, false
@@ -237,15 +238,15 @@
 	return d.Truncate(time.Millisecond), true
 }
 
-// usable reports whether a worker may get new work. If not, it returns why a step waits that
-// finds no usable worker.
+// usable reports whether a worker may get new work. If not, it also returns the reason that is
+// noted for a step that finds no usable worker.
 func (o *Orchestrator) usable(w *worker) (bool, string) {
 	switch {
 	case !w.listed && o.now.Sub(w.unlistedAt) > unlistedGrace:
 		return false, "no worker is usable; the last one checked is not listed"
 	case w.Draining:
 		return false, "no worker is usable; the last one checked is draining"
-	case !w.resolved || !w.hasClock:
+	case !w.runsKnown || !w.hasClock:
 		return false, "no worker is usable; the last one checked has not answered this leader yet"
 	case w.unreachable || w.unansweredAt.After(w.pollSentAt):
 		return false, "no worker is usable; the last one checked does not answer"
@@ -263,8 +264,8 @@
 
 func (o *Orchestrator) pollAnswered(e PollAnswered) {
 	w := o.workers[e.Worker]
-	if w == nil || !o.inherited || e.SentAt.Before(w.pollSentAt) {
-		return // before the jobs are inherited, ends would be acknowledged and runs stopped
+	if w == nil || !o.inheritedApplied || e.SentAt.Before(w.pollSentAt) {
+		return // before the jobs are inherited, ends of their runs would be acknowledged and runs stopped
 	}
 	if w.incarnation != 0 && w.incarnation != e.Incarnation {
 		o.workerRestarted(w, e)
@@ -272,14 +273,14 @@
 	if w.unreachable {
 		o.emit(Note{Event: EventWorkerReached, Worker: w.ID, Outcome: "answers again", Age: o.timeSinceAnswer(w)})
 	}
-	if !w.resolved {
-		w.resolved, w.inherited = true, false
+	if !w.runsKnown {
+		w.runsKnown, w.mayRunInheritedTasks = true, false
 		o.passDue = true
 	}
 	w.incarnation, w.clock, w.clockAt, w.hasClock = e.Incarnation, e.Clock, e.ReceivedAt, true
 	w.pollSentAt, w.answeredAt, w.unreachable = e.SentAt, e.ReceivedAt, false
 	if e.DrainRemaining > 0 {
-		w.drainLeft, w.drainLeftAt = e.DrainRemaining, o.now
+		w.drainRemaining, w.drainRemainingAt = e.DrainRemaining, o.now
 	}
 	for _, row := range e.Ended {
 		if row.Number > w.lastAppliedEnd {
@@ -314,7 +315,7 @@
 		o.removeRun(r)
 	}
 	if w.load.latencyCritical > 0 {
-		w.tailRatio, w.tailAt = tailRatio, e.ReceivedAt
+		w.tailRatio, w.tailRatioAt = tailRatio, e.ReceivedAt
 		o.updateInterference(w, e.Running)
 	} else {
 		w.tailRatio = 0
@@ -322,8 +323,8 @@
 	o.throttle(w)
 }
 
-// workerRestarted resets the state of a worker for its new incarnation. The poll's answer
-// decides which runs are left: a start may have reached the new incarnation already.
+// workerRestarted resets the state of a worker for its new incarnation. Runs that the poll's
+// answer lists are kept, because a start may have reached the new incarnation already.
 func (o *Orchestrator) workerRestarted(w *worker, e PollAnswered) {
 	o.emit(Note{Event: EventWorkerLost, Worker: w.ID, Outcome: "restarted", Reason: "a new incarnation answers",
 		Figures: fmt.Sprintf("Runs=%d", len(w.runs))})
@@ -332,12 +333,13 @@
 	}
 	w.lastAppliedEnd, w.ackedUpto, w.unackedEnds = 0, 0, nil
 	w.failureStreak, w.quarantinedUntil, w.probing, w.probe, w.slowdown = 0, time.Time{}, false, nil, 1
-	// Starts that were sent with a deadline on the old incarnation's clock may get a lease of
-	// the full length.
+	// The clock of the new incarnation starts at 0, so that a start with a lease end on the old
+	// clock may get the longest lease, MaxLease.
 	w.leasesEnd = o.now.Add(maxLeaseTime(o.settings.MaxLease))
 }
 
-// missing returns the runs that a poll's answer would list if they still ran, and does not.
+// missing returns the runs that a poll's answer does not list, although it would if they
+// still ran.
 func (w *worker) missing(e PollAnswered) []*run {
 	listed := make(map[runKey]bool, len(e.Running))
 	for _, row := range e.Running {
@@ -352,8 +354,8 @@
 	return rs
 }
 
-// ackedBefore reports whether the worker had answered the run's last start or stop before t,
-// so that the answer to a poll sent at t lists the run if it still runs.
+// ackedBefore reports whether the worker answered the run's last start or stop before t. If so,
+// the answer to a poll that was sent at t lists the run if it still runs.
 func (r *run) ackedBefore(t time.Time) bool {
 	return !r.ackedAt.IsZero() && r.ackedAt.Before(t)
 }
@@ -392,17 +394,17 @@
 		o.expireRun(r)
 	}
 	o.markIdle(w)
-	w.resolved, w.inherited = true, false
+	w.runsKnown, w.mayRunInheritedTasks = true, false
 	o.passDue = true
 }
 
 // tickWorker expires a worker's leases, updates its roster entry and resends commands.
 func (o *Orchestrator) tickWorker(w *worker) {
 	unreachable := w.unreachable || !w.hasClock
-	// A later leader may have reached the worker and extended its leases. They have certainly
-	// ended only if no other leader had been elected by then.
+	// A later leader may have reached the worker and extended its leases. The leases have
+	// certainly ended only if this leader was confirmed after their end.
 	if unreachable && !w.idle && o.now.After(w.leasesEnd) && o.confirmedAt.After(w.leasesEnd) {
-		if len(w.runs) > 0 || w.inherited {
+		if len(w.runs) > 0 || w.mayRunInheritedTasks {
 			o.emit(Note{Event: EventWorkerLost, Worker: w.ID, Outcome: "leases ended", Age: o.timeSinceAnswer(w),
 				Figures: fmt.Sprintf("Runs=%d", len(w.runs))})
 		}
@@ -416,8 +418,8 @@
 		return
 	}
 	switch {
-	case w.Draining && len(w.runs) == 0 && w.resolved:
-		// It gets no more starts, and a successor need not wait for its leases.
+	case w.Draining && len(w.runs) == 0 && w.runsKnown:
+		// The worker gets no more starts, and the next leader need not wait for its leases.
 		o.markIdle(w)
 	case !unreachable && w.listed:
 		o.enroll(w)
@@ -433,7 +435,8 @@
 	}
 }
 
-// advanceAcks marks ends as acknowledged, in order, if their jobs' records are in the store.
+// advanceAcks acknowledges ends in order of their numbers, up to the first whose job's record
+// is not in the store yet.
 func (o *Orchestrator) advanceAcks(w *worker) {
 	n := 0
 	for _, e := range w.unackedEnds {
@@ -446,8 +449,9 @@
 	w.unackedEnds = slices.Delete(w.unackedEnds, 0, n)
 }
 
-// recordRunOutcome updates a worker's streak of failed runs and quarantines it if that is too
-// long. A worker that fails every run at once looks idle and would attract all work.
+// recordRunOutcome updates a worker's streak of failed runs, and quarantines the worker from
+// quarantineStreak on. Otherwise a worker on which every run fails immediately would have the
+// most free capacity and get most tasks.
 func (o *Orchestrator) recordRunOutcome(w *worker, j *job, failed bool) {
 	if !failed {
 		w.failureStreak, w.probing, w.probe = 0, false, nil
@@ -462,28 +466,28 @@
 	}
 }
 
-// quarantine gives a worker no new work for quarantineTime, and then one task at a time until
-// one succeeds or a long-running one has run for probeDuration. Its other runs continue. n
-// holds the reason.
+// quarantine keeps new work from a worker for quarantineTime. After that the worker gets one
+// task at a time until one succeeds or a long-running one has run for probeDuration. Its other
+// runs continue. n holds the reason.
 func (o *Orchestrator) quarantine(w *worker, n Note) {
 	w.quarantinedUntil, w.probing, w.probe = o.now.Add(quarantineTime), true, nil
 	n.Event, n.Worker, n.Outcome = EventWorkerQuarantined, w.ID, "avoided"
 	o.emit(n)
 }
 
-// evacuate stops the runs on a draining worker that would not end before it leaves.
+// evacuate stops the runs that would not end before their draining worker stops serving.
 func (o *Orchestrator) evacuate(w *worker) {
-	left := w.drainLeft
+	left := w.drainRemaining
 	if left == 0 {
 		left = defaultDrainTime
 	}
-	left -= o.now.Sub(w.drainLeftAt)
+	left -= o.now.Sub(w.drainRemainingAt)
 	for _, r := range w.runs {
-		if r.phase != phaseRunning || r.remaining(o.now, o.stats(r.task.job().Policy.Queue).runTimeRatio) <= left {
+		if r.phase != phaseRunning || r.remainingRunTime(o.now, o.stats(r.task.job().Policy.Queue).runTimeRatio) <= left {
 			continue
 		}
 		if !r.task.step.LongRunning && !r.task.step.Checkpoints && r.progressPercent > 50 {
-			continue // more than half done, and the worker may stay longer than it reports
+			continue // more than half done, and the worker may serve longer than it reports
 		}
 		o.stop(r, "the worker is draining")
 	}
