--- a/internal/coordinator/accept.go
+++ b/internal/coordinator/accept.go
@@ -11,15 +11,16 @@
 )
 
 const (
-	// maxTransactionAttempts bounds the transactions of one submission or cancel request.
-	// A submission is repeated if the term has changed, a cancel request if the job has.
+	// maxTransactionAttempts bounds the transactions of one submission or cancel request. The
+	// transaction of a submission is retried if the term has changed, that of a cancel
+	// request if the job has changed.
 	maxTransactionAttempts = 4
 	// defaultRetryAfter is how long a refused caller should wait before it retries. A store
 	// that limits the request rate or restarts usually serves requests again by then.
 	defaultRetryAfter = time.Second
 )
 
-// Submit implements Jobs. Any host can store a job; the leader then starts its tasks.
+// Submit implements JobService. Any host can store a job; the leader then starts its tasks.
 func (c *Coordinator) Submit(ctx context.Context, j orchestrator.Job) Answer {
 	begin := time.Now()
 	a := c.submit(ctx, j)
@@ -96,7 +97,7 @@
 	return a
 }
 
-// State implements Jobs. The leader has the current state. If it does not answer or does
+// State implements JobService. The leader has the current state. If it does not answer or does
 // not know the job, the state comes from the store, where it may be older.
 func (c *Coordinator) State(ctx context.Context, id string) Answer {
 	begin := time.Now()
@@ -142,7 +143,7 @@
 	return Answer{Outcome: OutcomeNoSuchJob, Reason: "no such job"}
 }
 
-// Cancel implements Jobs. It stores the cancel request before it answers the caller.
+// Cancel implements JobService. It stores the cancel request before it answers the caller.
 func (c *Coordinator) Cancel(ctx context.Context, id string) Answer {
 	begin := time.Now()
 	a := c.cancel(ctx, id)
@@ -170,7 +171,7 @@
 			c.notifyLeader(notice{Cancel: id})
 			return Answer{Outcome: OutcomeDone, State: orchestrator.StateCancelled}
 		case !errors.As(err, &conflict):
-			// Cancelling is idempotent, so the caller may repeat the request.
+			// Cancelling is idempotent, so the caller may retry the request.
 			return Answer{Outcome: OutcomeUndecided, Reason: err.Error()}
 		}
 	}
@@ -189,11 +190,11 @@
 	return Answer{Outcome: OutcomeNoSuchJob, Reason: "no such job"}
 }
 
-// maxPendingAge is how old the count of pending jobs may be according to the platform's
-// specification.
+// maxPendingAge is how old the reported count of pending jobs may be. The platform specifies
+// this limit.
 const maxPendingAge = 1800 * time.Millisecond
 
-// Pending implements Jobs.
+// Pending implements JobService.
 func (c *Coordinator) Pending(queue string) (int, bool) {
 	if ld := c.currentLeadership(); ld != nil {
 		p := ld.pending()
@@ -206,7 +207,8 @@
 	return p.byQueue[queue], true
 }
 
-// pendingCounts is the number of pending jobs that the leader reported at a point in time.
+// pendingCounts is the number of pending jobs by queue that the leader reported. at is when
+// the ping was sent that the leader answered.
 type pendingCounts struct {
 	byQueue map[string]int
 	at      time.Time
--- a/internal/coordinator/command_test.go
+++ b/internal/coordinator/command_test.go
@@ -8,7 +8,8 @@
 )
 
 // Guards against a command that counts as executed although the worker refused it without
-// doing anything. After such a stop command a cancelled task would continue to run.
+// doing anything. If a stop command were lost in this way, a cancelled task would continue to
+// run.
 func TestWhichCommandsAreRepeated(t *testing.T) {
 	for name, c := range map[string]struct {
 		err              error
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -26,7 +26,7 @@
 	// second apart, before it also stops sending requests.
 	maxReadyStoreSilence = 1500 * time.Millisecond
 	// shutdownGracePeriod is how long a leaving host continues to serve requests after it
-	// reports itself as not ready. It covers two checks of the load balancer, a second
+	// reports itself as not ready. The period covers two checks of the load balancer, a second
 	// apart, and some slack.
 	shutdownGracePeriod = 2500 * time.Millisecond
 )
@@ -51,11 +51,11 @@
 
 	config        atomic.Pointer[Configuration]
 	leaving       atomic.Bool
-	configRefetch chan struct{} // asks syncConfiguration to read the configuration again
+	configRefetch chan struct{} // makes syncConfiguration read the configuration again
 
 	lastStoreSuccess  atomic.Int64 // timekeeper time of the last served call, Unix ns
 	storeUnavailable  atomic.Bool
-	leaderPending     atomic.Pointer[pendingCounts] // from the leader's last answer to a ping
+	leaderPending     atomic.Pointer[pendingCounts] // from the leader's last answer to a ping; nil: none yet
 	invalidWorkerKeys sync.Map                      // keys of worker entries that could not be decoded; each is logged once
 
 	mu         sync.Mutex  // guards the fields below
@@ -66,7 +66,7 @@
 	closeFuncs []func()
 }
 
-// New returns an entry host that has not been started.
+// New returns an entry host that Run starts.
 func New(s Settings, p Dependencies, log *slog.Logger) *Coordinator {
 	processID := fmt.Sprintf("%s/%x", s.Name, rand.Uint64())
 	c := &Coordinator{
@@ -142,18 +142,18 @@
 	return c.leadership
 }
 
-// Ready implements Jobs.
+// Ready implements JobService.
 func (c *Coordinator) Ready() bool {
 	return !c.leaving.Load() && c.config.Load() != nil && c.timeSinceStoreSuccess() < maxReadyStoreSilence
 }
 
-// Leaving implements Jobs.
+// Leaving implements JobService.
 func (c *Coordinator) Leaving() bool { return c.leaving.Load() }
 
-// Configured implements Jobs.
+// Configured implements JobService.
 func (c *Coordinator) Configured() bool { return c.config.Load() != nil }
 
-// Route implements Jobs.
+// Route implements JobService.
 func (c *Coordinator) Route(host, path string) (Queue, string, bool) {
 	return c.config.Load().route(host, path)
 }
@@ -233,9 +233,10 @@
 }
 
 const (
-	// configurationWatchTimeout is how long one watch of the configuration lasts. The read
-	// after it detects a dead connection and finds changes whose events were lost, well
-	// within the two seconds that a change may take to be in effect.
+	// configurationWatchTimeout is how long one watch of the configuration lasts. Each watch
+	// is followed by a read, which detects a dead connection and finds changes whose events
+	// were lost. A change may take two seconds to be in effect, and the read comes well
+	// before that.
 	configurationWatchTimeout = 1000 * time.Millisecond
 	configurationRetryDelay   = 150 * time.Millisecond
 )
@@ -276,7 +277,7 @@
 }
 
 // refetchOlderConfiguration triggers a read of the configuration if this host's version is
-// older than the given one, which another host has in effect.
+// older than version, which is in effect on another host.
 func (c *Coordinator) refetchOlderConfiguration(version uint64) {
 	if old := c.config.Load(); old == nil || old.Version < version {
 		select {
@@ -294,8 +295,9 @@
 	return 0
 }
 
-// orchestratorSettings returns the orchestrator's settings for one term. confirmed is when
-// the election was sent to the store, elected when it was known to be won.
+// orchestratorSettings returns the orchestrator's settings for one term. confirmed is the time
+// at which the election was sent to the store, and elected the time at which the store's
+// answer confirmed it.
 func (c *Coordinator) orchestratorSettings(epoch uint64, confirmed, elected time.Time) orchestrator.Settings {
 	return orchestrator.Settings{
 		Epoch: epoch, ElectedAt: elected, ConfirmedAt: confirmed,
--- a/internal/coordinator/election.go
+++ b/internal/coordinator/election.go
@@ -27,8 +27,9 @@
 )
 
 const (
-	// pingInterval is the interval of pings to the leader. If the leader's process has
-	// ended, its host refuses the connection of the next ping.
+	// pingInterval is the interval of pings to the leader. If the leader's process ends,
+	// its host refuses the connection of the next ping, so that other hosts detect the
+	// failure within this interval.
 	pingInterval = 250 * time.Millisecond
 	// pingTimeout is several times the round trip between failure domains, so that an
 	// overloaded leader still answers in time.
@@ -48,11 +49,14 @@
 	// maxCampaignJitter spreads the campaigns of hosts that detect a failed leader at the
 	// same time.
 	maxCampaignJitter = 120 * time.Millisecond
-	// campaignYieldDelay is how long a host delays its campaign for the preferred host, or
-	// for other hosts if its processor share is much smaller than the last leader's.
+	// campaignYieldDelay is how long a host delays its campaign so that a better suited host
+	// can win the election: the preferred host of the term, or any host if this host's
+	// processor share is much smaller than the last leader's. The processor share is the
+	// number of processor cores that the process may use (Settings.ProcessorShare).
 	campaignYieldDelay = 500 * time.Millisecond
-	// minProcessorShareRatio is the smallest ratio of a host's processor share to another
-	// host's at which it is about as well suited to lead.
+	// minProcessorShareRatio is the ratio of processor shares below which a host gives way
+	// to another. A host whose ratio to the last leader is smaller delays its campaign by
+	// campaignYieldDelay. A leader whose ratio to a ready host is smaller hands over to it.
 	minProcessorShareRatio = 0.6
 	// termRetryDelay is the pause after a failed read of the term or after a campaign.
 	termRetryDelay = 150 * time.Millisecond
@@ -86,7 +90,8 @@
 	since    time.Time
 }
 
-// monitorLeader checks the leader while another host leads, and campaigns if it has failed.
+// monitorLeader checks the leader while this host does not lead, and campaigns if the leader
+// has failed.
 func (c *Coordinator) monitorLeader(ctx context.Context) {
 	var o headObservation
 	for ctx.Err() == nil {
@@ -138,7 +143,7 @@
 	return c.checkHead(ctx, t, o, electionTimeout)
 }
 
-// checkHead reads head and campaigns if it has not changed for electionTimeout. It returns
+// checkHead reads head, and campaigns if head has not changed for electionTimeout. It returns
 // the pause before the next check.
 func (c *Coordinator) checkHead(ctx context.Context, t term, o *headObservation, electionTimeout time.Duration) time.Duration {
 	entries, _, err := c.store.List(ctx, prefixLeader)
@@ -206,7 +211,8 @@
 	return t
 }
 
-// campaign tries to become the leader. It succeeds if the stored term is still after.
+// campaign tries to make this host the leader. The election succeeds only if the stored term
+// is still the term after.
 func (c *Coordinator) campaign(ctx context.Context, after term, reason string) {
 	if c.leaving.Load() {
 		return
--- a/internal/coordinator/lead.go
+++ b/internal/coordinator/lead.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// runLeaseDuration is the lease of a run, which each poll renews. It covers the time
+	// runLeaseDuration is the lease of a run, which each poll renews. The lease covers the time
 	// from the failure of a leader until its successor has reached the workers. A longer
 	// lease delays the restart of runs on a lost worker.
 	runLeaseDuration = 4500 * time.Millisecond
@@ -24,15 +24,15 @@
 	// headWriteInterval is the longest time between two writes of a leader, which serve as
 	// its heartbeat in the store.
 	headWriteInterval = 300 * time.Millisecond
-	// writeBatchDelay is the pause after a write while changes remain that no caller is
-	// waiting for. More changes share the next write.
+	// writeBatchDelay is the pause after a write if unwritten changes remain that no caller
+	// waits for. Changes that are made during the pause share the next write.
 	writeBatchDelay = 90 * time.Millisecond
 	// maxBatchJobs limits the jobs in one write. A final state takes three entries (a
 	// record and two deleted keys), and a transaction takes at most 32.
 	maxBatchJobs = 9
 	// writeRetryDelay is the pause after a failed write.
 	writeRetryDelay = 60 * time.Millisecond
-	// tickInterval is the interval of Tick events for the orchestrator.
+	// tickInterval is the interval of the Tick events that the orchestrator receives.
 	tickInterval = 50 * time.Millisecond
 	// inputPollInterval is the interval at which the leader reads new jobs and cancel
 	// requests from the store, in case a notice was lost.
@@ -43,7 +43,7 @@
 	workerWatchRetryDelay = 200 * time.Millisecond
 	// workerRelistInterval is the interval at which the whole list is read again.
 	workerRelistInterval = 6 * time.Second
-	// loadRetryDelay is the pause after a failed read of the state of earlier leaders.
+	// loadRetryDelay is the pause after a failed read of the state that earlier leaders stored.
 	loadRetryDelay = 100 * time.Millisecond
 )
 
--- a/internal/coordinator/messages.go
+++ b/internal/coordinator/messages.go
@@ -17,11 +17,11 @@
 	methodState  = "State"
 )
 
-// leaderCallTimeout bounds calls of the leader other than pings. A caller's request may be
-// waiting for the call.
+// leaderCallTimeout bounds calls to the leader other than pings. It is short because a
+// caller's request may wait for the call.
 const leaderCallTimeout = 400 * time.Millisecond
 
-// pingRequest checks whether the leader is alive and tells it about the sending host.
+// pingRequest checks whether the leader is alive and describes the sending host to it.
 type pingRequest struct {
 	Host    string
 	Epoch   uint64
--- a/internal/coordinator/poller.go
+++ b/internal/coordinator/poller.go
@@ -13,13 +13,14 @@
 	// maxPollWait is how long a worker may hold a poll until a run ends. Each poll renews
 	// the leases of the worker's runs.
 	maxPollWait = 1000 * time.Millisecond
-	// maxShortPollWait replaces maxPollWait while the worker's measurements are needed
-	// soon. It is half of the period that they cover.
+	// maxShortPollWait replaces maxPollWait while the worker's measurements are needed soon.
+	// It is half of the period that the measurements cover.
 	maxShortPollWait = 500 * time.Millisecond
 	// pollRetryDelay is the pause after a failed poll.
 	pollRetryDelay = 250 * time.Millisecond
-	// maxAckWait is how long the next poll is delayed at most until ended runs are stored.
-	// Until they are acknowledged, a poll would return at once with the same ended runs.
+	// maxAckWait is the maximum delay of the next poll while the ended runs of the last one
+	// are being stored. A poll that does not acknowledge them would return at once with the
+	// same ended runs.
 	maxAckWait = 160 * time.Millisecond
 	// ackChecks is the number of checks within maxAckWait.
 	ackChecks = 4
@@ -38,7 +39,8 @@
 	commands chan orchestrator.Action
 }
 
-// startPoller starts the poller of a worker. A poller with another address is replaced.
+// startPoller starts the poller of a worker. It replaces a poller of the same worker at
+// another address.
 // ld.mu must be held.
 func (ld *leadership) startPoller(w orchestrator.WorkerEntry) {
 	if p := ld.pollers[w.ID]; p != nil {
--- a/internal/coordinator/types.go
+++ b/internal/coordinator/types.go
@@ -81,11 +81,11 @@
 	Outcome    Outcome
 	State      orchestrator.State
 	Reason     string
-	RetryAfter time.Duration // how long a refused caller should wait before it retries
+	RetryAfter time.Duration // how long a refused caller should wait before it retries; 0: not specified
 }
 
-// JobService handles callers' requests about jobs. The callers' HTTP server uses it, *Coordinator
-// implements it.
+// JobService handles callers' requests about jobs. *Coordinator implements it, and the HTTP
+// server for callers uses it.
 type JobService interface {
 	// Ready reports whether the load balancer should send requests to this host.
 	Ready() bool
@@ -96,7 +96,7 @@
 	// Route returns the queue of a request and the rest of its path, and false if there
 	// is no such queue. It must not be called before Configured reports true.
 	Route(host, path string) (Queue, string, bool)
-	// Submit stores a job. It is idempotent.
+	// Submit stores a job. A repeated submission of a job has no further effect.
 	Submit(ctx context.Context, j orchestrator.Job) Answer
 	State(ctx context.Context, id string) Answer
 	Cancel(ctx context.Context, id string) Answer
--- a/internal/coordinator/write.go
+++ b/internal/coordinator/write.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// writeBatch writes the most urgent changes and reports whether the call succeeded. all
-// includes changes that would otherwise wait for a later batch.
+// writeBatch writes the most urgent changes and reports whether the write was confirmed. If
+// all is set, the batch includes changes that would otherwise wait for a later one.
 func (ld *leadership) writeBatch(ctx context.Context, all bool) bool {
 	ld.writeMu.Lock()
 	defer ld.writeMu.Unlock()
@@ -145,8 +145,8 @@
 }
 
 // resolveUnknownOutcome reads head after a write with an unknown outcome. If head has the
-// value of the write, the batch was stored. If not, the write can only be executed while
-// head is unchanged, so the result of the next write shows whether it was.
+// value of the write, the batch was stored. Otherwise the write may still be executed, but
+// only while head is unchanged, so the result of the next write shows whether it was.
 func (ld *leadership) resolveUnknownOutcome(ctx context.Context, tx storer.Transaction, batch orchestrator.Batch) {
 	sent := timekeeper.Now()
 	entries, _, err := ld.list(ctx, prefixLeader)
