--- a/cmd/peridotpitch/entry.go
+++ b/cmd/peridotpitch/entry.go
@@ -21,8 +21,8 @@
 	// commandTimeout limits a command to a worker. Workers answer in milliseconds; a
 	// command without an answer is sent again.
 	commandTimeout = 400 * time.Millisecond
-	// adviceTimeout limits a query to the policy service, whose duration grows with the
-	// number of workers in the query, and which handles one call of a host at a time.
+	// adviceTimeout limits a query to the policy service. The duration of a query grows with
+	// the number of workers in it, and the service handles one call of a host at a time.
 	adviceTimeout = 2 * time.Second
 	// memoryLimitShare is the Go runtime's memory limit (GOMEMLIMIT) as a share of the Memory
 	// setting. The garbage collector runs more often as the heap approaches it.
@@ -32,7 +32,8 @@
 	gcPercent = 200
 )
 
-// runEntryHost runs an entry host on the platform until ctx ends.
+// runEntryHost runs an entry host on the users' platform (package platform) until ctx ends. path
+// is the path of the settings file.
 func runEntryHost(ctx context.Context, path string) error {
 	s, err := platform.LoadSettings(path)
 	if err != nil {
@@ -70,6 +71,7 @@
 	return err
 }
 
+// checkEntrySettings checks the settings file of an entry host.
 func checkEntrySettings(path string) error {
 	_, err := platform.LoadSettings(path)
 	return err
@@ -79,15 +81,16 @@
 // take milliseconds, and up to storeTimeout when the store is slow.
 const shutdownTimeout = 2 * time.Second
 
+// reloadSignals returns a channel that receives SIGHUP, and a function that stops the delivery.
 func reloadSignals() (<-chan os.Signal, func()) {
 	ch := make(chan os.Signal, 1)
 	signal.Notify(ch, syscall.SIGHUP)
 	return ch, func() { signal.Stop(ch) }
 }
 
-// reload validates the changed settings and logs the outcome; it applies none. Addresses
-// and names cannot change while the process runs, and everything else that operators may
-// change is in the store.
+// reload validates the settings file and logs whether the settings have changed. It applies no
+// change: addresses and names cannot change while the process runs, and everything else that
+// operators may change is in the store.
 func reload(path string, old coordinator.Settings, log *slog.Logger) {
 	s, err := platform.LoadSettings(path)
 	if err != nil {
--- a/cmd/peridotpitch/main.go
+++ b/cmd/peridotpitch/main.go
@@ -35,6 +35,7 @@
 	})
 }
 
+// runServer runs an entry host of package server until ctx ends.
 func runServer(ctx context.Context, s loader.Settings) error {
 	return server.Run(ctx, s, version)
 }
