--- a/internal/explainer/breakdown.go
+++ b/internal/explainer/breakdown.go
@@ -131,8 +131,8 @@
 	s.wastedRunTime += took
 }
 
-// inputFigure returns the value of key in a line's Inputs, which are key=value pairs; empty
-// if there is none.
+// inputFigure returns the value of key in a line's field Inputs, which holds key=value pairs.
+// The result is empty if the field does not have the key.
 func inputFigure(l Line, key string) string {
 	for _, word := range strings.Fields(l.Value("Inputs")) {
 		if k, v, ok := strings.Cut(word, "="); ok && k == key {
@@ -145,7 +145,7 @@
 // splitTime divides the time from the job's addition to its end into noRunTime,
 // partlyWaitingTime and allRunningTime.
 func (b *jobBuilder) splitTime() {
-	for run, from := range b.openRuns { // no line of their end: they count as running until the job's end
+	for run, from := range b.openRuns { // the log has no line of their end: they count as running until the job's end
 		b.runIntervals = append(b.runIntervals, interval{from, b.endedAt})
 		delete(b.openRuns, run)
 	}
--- a/internal/explainer/doc.go
+++ b/internal/explainer/doc.go
@@ -1,4 +1,4 @@
-// Package explainer reads the log files of entry hosts, and writes the lines about a job,
-// task or worker, how the jobs of a queue spent their time, and which hosts led when. It
-// needs no running host.
+// Package explainer reads the log files of entry hosts. It writes the lines about a job, task
+// or worker, a table of how the jobs of each queue spent their time, and a table of the
+// leaders. It needs no running host.
 package explainer
--- a/internal/explainer/explain.go
+++ b/internal/explainer/explain.go
@@ -35,9 +35,10 @@
 	orchestrator.EventWorkerLost, orchestrator.EventWorkerReached, orchestrator.EventWorkerQuarantined, orchestrator.EventThrottle,
 }
 
-// Explain writes the lines about a job, a task or a worker in order of time, and a summary
-// of a job that has ended. It adds the lines between the first and the last of them with
-// cluster events, and with events of workers while the job has a run there, marked with "*".
+// Explain writes the lines about a job, a task or a worker in order of time, and a summary of
+// a job that has ended. Between the first and the last of these lines, it adds lines with
+// cluster events, and lines with events of workers on which the job has a run at that time. It
+// marks added lines with "*".
 func (g *Log) Explain(w io.Writer, id string) error {
 	first := slices.IndexFunc(g.Lines, func(l Line) bool { return concerns(l, id) })
 	if first < 0 {
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// trackRuns updates the runs of a job on each worker by a line about the job.
+// trackRuns updates the runs of a job on each worker with a line about the job.
 func trackRuns(runsByWorker map[string]map[string]bool, l Line) {
 	worker, run := l.Value("Worker"), l.Value("Task")+"/"+l.Value("Run")
 	if worker == "" {
--- a/internal/explainer/leaders.go
+++ b/internal/explainer/leaders.go
@@ -14,7 +14,7 @@
 type leaderTerm struct {
 	host, epoch, reason string
 	electedAt           time.Time
-	idleBefore          time.Duration // time from the last start or end of a task before the election to the election
+	idleBefore          time.Duration // time without a start or end of a task before the election; 0 if none is in the log
 	firstStartAt        time.Time     // zero if the leader has started no task
 }
 
@@ -44,8 +44,8 @@
 }
 
 // Leaders writes a table with a row for each leader's term: when and why the host was
-// elected, how long before its election no task had started or ended, and how long after it
-// the host started its first task.
+// elected, for how long before the election no task had started or ended, and how long after
+// the election the host started its first task.
 func (g *Log) Leaders(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	if _, err := fmt.Fprintln(t, strings.Join([]string{"ELECTED", "LEADER", "EPOCH", "IDLE BEFORE", "FIRST START", "REASON"}, "\t")); err != nil {
