--- a/internal/commandline/output.go
+++ b/internal/commandline/output.go
@@ -49,7 +49,7 @@
 		_ = writeJSON(e.Stdout, struct{ Error *administrator.Error }{shown})
 	}
 	var invalid *configurator.InvalidError
-	if errors.As(err, &invalid) { // its text lists the faults with the name of the file
+	if errors.As(err, &invalid) { // the error's text lists the faults with the name of the file
 		_, _ = fmt.Fprintf(e.Stderr, "peridotpitch: %s:\n%v\n", shown.Message, err)
 		return code
 	}
--- a/internal/commandline/run.go
+++ b/internal/commandline/run.go
@@ -26,15 +26,16 @@
 // addressVariable is the environment variable with the default of the flag -address.
 const addressVariable = "PERIDOTPITCH_ADDRESS"
 
-// defaultTimeout limits a request to an entry host. It is longer than the limit on the
-// entry host, so that the host's answer arrives also when its own limit expires.
+// defaultTimeout limits a request to an entry host. It is longer than the entry host's own
+// limit, so that the answer of a host whose limit has expired still arrives.
 const defaultTimeout = administrator.RequestTimeout + 5*time.Second
 
-// ServeFunc runs an entry host until ctx ends.
+// ServeFunc runs an entry host of package server until ctx ends. s are its settings, which the
+// subcommand serve has read.
 type ServeFunc func(ctx context.Context, s loader.Settings) error
 
-// EntryFunc runs an entry host on the users' platform until ctx ends. path is the path of the
-// settings file.
+// EntryFunc runs an entry host on the users' platform (packages coordinator and platform)
+// until ctx ends. path is the path of the settings file, which has the platform's format.
 type EntryFunc func(ctx context.Context, path string) error
 
 // Environment contains the streams, variables and functions that the process provides to a
@@ -43,8 +44,8 @@
 	Stdout io.Writer
 	Stderr io.Writer
 	Getenv func(string) string
-	Serve  ServeFunc
-	Entry  EntryFunc
+	Serve  ServeFunc // runs the subcommand serve
+	Entry  EntryFunc // runs the subcommand entry
 	// CheckEntry checks the settings file of an entry host on the users' platform.
 	CheckEntry func(path string) error
 	// SettingsVariable is the environment variable with the default path of the settings
@@ -59,8 +60,8 @@
 	arguments string // names of the arguments in the usage text
 	summary   string
 	remote    bool // sends a request to an entry host
-	// With at least minLocalArguments arguments a remote command sends no request to an
-	// entry host; 0: it always sends one.
+	// With at least minLocalArguments arguments, a remote command reads log files instead of
+	// sending a request to an entry host; 0: it always sends a request.
 	minLocalArguments          int
 	minArguments, maxArguments int // number of arguments
 	// setup declares the flags and returns the function that executes the command.
@@ -105,16 +106,17 @@
 			return execute(ctx, c, arguments[len(words):], e)
 		}
 	}
-	return reportUnknown(arguments, e)
+	return handleUnmatched(arguments, e)
 }
 
 func isHelp(word string) bool {
 	return word == "-h" || word == "-help" || word == "--help" || word == "help"
 }
 
-// reportUnknown handles arguments that match no subcommand: the name of a group prints the
-// overview of the group, and anything else is a usage error.
-func reportUnknown(arguments []string, e Environment) int {
+// handleUnmatched handles arguments that match no subcommand. A group is the set of two-word
+// subcommands with the same first word. If the arguments are this word alone, or this word and
+// a help flag, handleUnmatched prints the overview of the group. Others are a usage error.
+func handleUnmatched(arguments []string, e Environment) int {
 	group := arguments[0]
 	var names []string
 	for _, c := range commands() {
@@ -200,7 +202,7 @@
 	return err
 }
 
-// parse reads flags and arguments. Flags may stand before, between and after arguments.
+// parse reads flags and arguments. Flags may be before, between and after arguments.
 func parse(fs *flag.FlagSet, c command, arguments []string, k *call) error {
 	for {
 		if err := fs.Parse(arguments); err != nil {
--- a/internal/commandline/run_test.go
+++ b/internal/commandline/run_test.go
@@ -117,7 +117,7 @@
 // backend implements administrator.Backend with fixed data. Configurations are applied by
 // a real publisher with this backend as its store.
 type backend struct {
-	storer.Store // nil: with few records the publisher calls only Get and CompareAndSwap
+	storer.Store // nil: with few records, the publisher calls only Get and CompareAndSwap, which backend implements
 	publisher    *publisher.Publisher
 
 	mu      sync.Mutex
