--- a/internal/storer/client.go
+++ b/internal/storer/client.go
@@ -12,8 +12,8 @@
 	"peridotpitch/internal/requester"
 )
 
-// defaultRetryAfter is the RetryAfter of a RateLimitedError if the answer with status 429
-// has none.
+// defaultRetryAfter is the RetryAfter of a RateLimitedError if the answer with status 429 has
+// no Retry-After header.
 const defaultRetryAfter = 100 * time.Millisecond
 
 // Options configures a Client. Zero fields take the defaults of package requester.
@@ -26,7 +26,7 @@
 // Client implements Store over HTTP.
 type Client struct {
 	callRequester  *requester.Requester
-	watchRequester *requester.Requester // of its own, so that waiting watches do not block other calls
+	watchRequester *requester.Requester // separate, so that waiting watches do not block other calls
 	timeout        time.Duration
 }
 
@@ -137,19 +137,19 @@
 // call sends in to path and decodes the answer into out. writtenKey is the key that the call
 // writes, empty for a read. If the answer to a read is lost, the error is an
 // *UnavailableError: a read changes nothing, so its outcome does not matter.
-func (c *Client) call(ctx context.Context, p *requester.Requester, path string, in, out any, writtenKey string) error {
-	a, err := p.Post(ctx, path, in)
+func (c *Client) call(ctx context.Context, r *requester.Requester, path string, in, out any, writtenKey string) error {
+	a, err := r.Post(ctx, path, in)
 	if err != nil {
-		var pe *requester.Error
-		if writtenKey != "" && errors.As(err, &pe) && pe.Sent {
+		var re *requester.Error
+		if writtenKey != "" && errors.As(err, &re) && re.Sent {
 			return &UnknownOutcomeError{Key: writtenKey, Reason: err.Error()}
 		}
-		return &UnavailableError{Address: p.Address(), Reason: err.Error()}
+		return &UnavailableError{Address: r.Address(), Reason: err.Error()}
 	}
 	switch a.Status {
 	case http.StatusOK:
 	case http.StatusServiceUnavailable:
-		return &UnavailableError{Address: p.Address(), Reason: fmt.Sprintf("%s was refused with status %d", path, a.Status)}
+		return &UnavailableError{Address: r.Address(), Reason: fmt.Sprintf("%s was refused with status %d", path, a.Status)}
 	case http.StatusTooManyRequests:
 		if a.RetryAfter == 0 {
 			a.RetryAfter = defaultRetryAfter
@@ -158,19 +158,19 @@
 	case http.StatusRequestEntityTooLarge:
 		return &TooLargeError{Key: writtenKey}
 	default:
-		return c.ambiguousAnswer(p, writtenKey, fmt.Sprintf("%s was answered with unexpected status %d", path, a.Status))
+		return c.ambiguousAnswer(r, writtenKey, fmt.Sprintf("%s was answered with unexpected status %d", path, a.Status))
 	}
 	if err := json.Unmarshal(a.Body, out); err != nil {
-		return c.ambiguousAnswer(p, writtenKey, fmt.Sprintf("answer to %s cannot be decoded: %v", path, err))
+		return c.ambiguousAnswer(r, writtenKey, fmt.Sprintf("answer to %s cannot be decoded: %v", path, err))
 	}
 	return nil
 }
 
 // ambiguousAnswer returns the error for an answer that does not say whether the call took
 // effect.
-func (c *Client) ambiguousAnswer(p *requester.Requester, writtenKey, reason string) error {
+func (c *Client) ambiguousAnswer(r *requester.Requester, writtenKey, reason string) error {
 	if writtenKey != "" {
 		return &UnknownOutcomeError{Key: writtenKey, Reason: reason}
 	}
-	return &UnavailableError{Address: p.Address(), Reason: reason}
+	return &UnavailableError{Address: r.Address(), Reason: reason}
 }
--- a/internal/storer/store.go
+++ b/internal/storer/store.go
@@ -57,8 +57,7 @@
 	// List returns the entries whose keys start with prefix, and the store's revision.
 	List(ctx context.Context, prefix string) ([]Entry, uint64, error)
 	// CompareAndSwap writes value if the key's revision is expect (0: the key must not
-	// exist). It reports whether the value was written, and the
-	// key's current revision.
+	// exist). It reports whether the value was written, and the key's current revision.
 	CompareAndSwap(ctx context.Context, key string, expect uint64, value []byte) (bool, uint64, error)
 	// Delete removes the key if its revision is expect.
 	Delete(ctx context.Context, key string, expect uint64) (bool, error)
