--- a/internal/administrator/client.go
+++ b/internal/administrator/client.go
@@ -22,8 +22,8 @@
 // maxAnswerBytes bounds the body of an answer. A list of 16,000 jobs takes about 8 MB.
 const maxAnswerBytes = 64 << 20
 
-// NoAnswerError reports that no usable answer arrived. If Sent is set, a request that
-// changes state may have taken effect.
+// NoAnswerError reports that no usable answer arrived. If Sent is true, a request that changes
+// state may have taken effect.
 type NoAnswerError struct {
 	Address netip.AddrPort
 	Sent    bool
@@ -148,8 +148,8 @@
 	return decodeAnswer[T](c, resp)
 }
 
-// do sends req once, over a connection of its own. The retries of fasthttp's clients are
-// avoided because a retried submission could hide that the first attempt took effect.
+// do sends req once, over a new connection. It does not use fasthttp's clients because they
+// retry requests, and a retried submission could hide that the first attempt took effect.
 func (c *Client) do(ctx context.Context, req *fasthttp.Request, resp *fasthttp.Response) error {
 	if err := ctx.Err(); err != nil {
 		return &NoAnswerError{Address: c.address, Cause: err}
--- a/internal/administrator/server.go
+++ b/internal/administrator/server.go
@@ -20,8 +20,8 @@
 	"peridotpitch/internal/storer"
 )
 
-// RequestTimeout bounds the handling of one operator's request. It is longer than it takes
-// to find out whether a store write whose answer was lost has taken effect.
+// RequestTimeout bounds the handling of one operator's request. It is longer than the time to
+// determine whether a store write whose answer was lost has taken effect.
 const RequestTimeout = 30 * time.Second
 
 // maxRequestBytes bounds the body of a request. The text of a configuration has at most
@@ -269,8 +269,8 @@
 	return n, nil
 }
 
-// toError converts an error of the Backend to an *Error with a code. An error after which a
-// write may have taken effect never gets a code that says that it had no effect.
+// toError converts an error of the Backend to an *Error with a code. If a write may have taken
+// effect, the code never says that it had no effect.
 func toError(err error) *Error {
 	var adminError *Error
 	var refused *configurator.RefusedError
