--- a/internal/commander/client.go
+++ b/internal/commander/client.go
@@ -42,7 +42,7 @@
 	DialTimeout time.Duration
 }
 
-// Client implements Workers over HTTP. It keeps a connection pool for each worker.
+// Client implements WorkerClient over HTTP. It keeps a connection pool for each worker.
 type Client struct {
 	options    requester.Options
 	mu         sync.Mutex // guards requesters; not held during calls
@@ -70,7 +70,7 @@
 	return c, c.close
 }
 
-// Fence implements Workers.
+// Fence implements WorkerClient.
 func (c *Client) Fence(ctx context.Context, address netip.AddrPort, epoch uint64, owner string) (FenceAnswer, error) {
 	in := struct {
 		Epoch uint64
@@ -81,14 +81,14 @@
 	return out, err
 }
 
-// Report implements Workers.
+// Report implements WorkerClient.
 func (c *Client) Report(ctx context.Context, address netip.AddrPort) (Report, error) {
 	var out Report
 	err := c.call(ctx, address, "/worker/report", struct{}{}, &out)
 	return out, err
 }
 
-// Apply implements Workers.
+// Apply implements WorkerClient.
 func (c *Client) Apply(ctx context.Context, address netip.AddrPort, epoch uint64, owner string, commands []Command) (ApplyAnswer, error) {
 	in := struct {
 		Epoch    uint64
@@ -107,8 +107,8 @@
 func (c *Client) call(ctx context.Context, address netip.AddrPort, path string, in, out any) error {
 	a, err := c.requesterFor(address).Post(ctx, path, in)
 	if err != nil {
-		var pe *requester.Error
-		sent := !errors.As(err, &pe) || pe.Sent
+		var re *requester.Error
+		sent := !errors.As(err, &re) || re.Sent
 		return &NoAnswerError{Address: address, Sent: sent, Reason: err.Error()}
 	}
 	if a.Status != http.StatusOK {
@@ -138,9 +138,9 @@
 			delete(c.requesters, a)
 		}
 	}
-	p, stop := requester.New(address, c.options)
-	c.requesters[address] = &requesterEntry{requester: p, closeIdle: stop, lastUsedAt: now}
-	return p
+	r, stop := requester.New(address, c.options)
+	c.requesters[address] = &requesterEntry{requester: r, closeIdle: stop, lastUsedAt: now}
+	return r
 }
 
 func (c *Client) close() {
--- a/internal/commander/message.go
+++ b/internal/commander/message.go
@@ -76,7 +76,7 @@
 	Declared   configurator.Resources
 	Used       configurator.Resources
 	Slowdown   float64 // run time per unit of work, divided by the run time without contention; 0 if unknown
-	Throttle   float64 // share of its declared cores that the task may use; 0 or 1 means no limit
+	Throttle   float64 // share of its declared cores that the task may use; 0 or 1: no limit
 	LeaseEnd   WorkerTime
 	Checkpoint string // last complete checkpoint
 	Address    string // ip:port of a service instance
@@ -88,21 +88,21 @@
 	Verb    Verb
 	Task    string
 	Attempt int
-	// Incarnation identifies the worker process that the command is for; any other process
-	// refuses it. A restarted worker has lost the epoch that it had accepted, and its clock
-	// restarts at 0, so neither the epoch nor NotAfter would stop a delayed start.
+	// Incarnation identifies the worker process that the command is for. Any other process
+	// refuses the command. A restarted worker has lost the epoch that it had accepted, and its
+	// clock restarts at 0, so neither the epoch nor NotAfter would stop a delayed start.
 	Incarnation string
 	Kind        TaskKind
 	Class       string
 	Service     string
 	Declared    configurator.Resources
 	Slots       int           // of a service instance
-	Duration    time.Duration // of the work; only the stand-in worker uses it
+	Duration    time.Duration // of the work; only the emulated worker uses it
 	Checkpoint  string        // checkpoint to resume from, empty for none
 	LeaseEnd    WorkerTime
-	NotAfter    WorkerTime // reading of the worker's clock after which it refuses the command
-	Limit       float64    // share of the task's declared cores, for VerbThrottle
-	Grace       time.Duration
+	NotAfter    WorkerTime    // reading of the worker's clock after which it refuses the command
+	Limit       float64       // share of the task's declared cores, for VerbThrottle
+	Grace       time.Duration // time that VerbStop gives the task to end; 0: end at once
 }
 
 // Result is the outcome of one command.
