--- a/internal/requester/requester.go
+++ b/internal/requester/requester.go
@@ -83,8 +83,8 @@
 // New returns a Requester and a function that closes its idle connections.
 func New(address netip.AddrPort, o Options) (*Requester, func()) {
 	o = o.withDefaults()
-	p := &Requester{address: address, options: o}
-	p.client = &fasthttp.HostClient{
+	r := &Requester{address: address, options: o}
+	r.client = &fasthttp.HostClient{
 		Addr:                address.String(),
 		MaxConns:            o.MaxConnections,
 		MaxIdleConnDuration: defaultMaxIdleDuration,
@@ -96,27 +96,27 @@
 			return net.DialTimeout("tcp", addr, timeout)
 		},
 	}
-	return p, p.client.CloseIdleConnections
+	return r, r.client.CloseIdleConnections
 }
 
 // Address returns the address of the server.
-func (p *Requester) Address() netip.AddrPort { return p.address }
+func (r *Requester) Address() netip.AddrPort { return r.address }
 
 // Post sends in as JSON once and returns the answer, whatever its status code. Errors are
 // of type *Error.
-func (p *Requester) Post(ctx context.Context, path string, in any) (Answer, error) {
+func (r *Requester) Post(ctx context.Context, path string, in any) (Answer, error) {
 	body, err := json.Marshal(in)
 	if err != nil {
-		return Answer{}, &Error{Address: p.address, Path: path, Cause: fmt.Errorf("encode request: %w", err)}
+		return Answer{}, &Error{Address: r.address, Path: path, Cause: fmt.Errorf("encode request: %w", err)}
 	}
-	ctx, cancel := context.WithTimeout(ctx, p.options.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, r.options.Timeout)
 	defer cancel()
-	a, sent, err := p.exchange(ctx, path, body)
+	a, sent, err := r.exchange(ctx, path, body)
 	if err != nil {
 		if c := context.Cause(ctx); c != nil {
 			err = errors.Join(c, err)
 		}
-		return Answer{}, &Error{Address: p.address, Path: path, Sent: sent, Cause: err}
+		return Answer{}, &Error{Address: r.address, Path: path, Sent: sent, Cause: err}
 	}
 	return a, nil
 }
@@ -124,12 +124,12 @@
 // exchange sends a request and reads the answer. It reports whether any byte of the request
 // was sent. It uses the client's connections directly instead of HostClient.Do, because Do
 // cannot be canceled and does not report whether the request was written.
-func (p *Requester) exchange(ctx context.Context, path string, body []byte) (Answer, bool, error) {
+func (r *Requester) exchange(ctx context.Context, path string, body []byte) (Answer, bool, error) {
 	if err := ctx.Err(); err != nil {
 		return Answer{}, false, err
 	}
 	deadline, _ := ctx.Deadline()
-	cc, err := p.client.AcquireConn(time.Until(deadline), false)
+	cc, err := r.client.AcquireConn(time.Until(deadline), false)
 	if err != nil {
 		return Answer{}, false, err
 	}
@@ -137,17 +137,17 @@
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(resp)
-	err = p.roundTrip(conn, path, body, resp)
+	err = r.roundTrip(conn, path, body, resp)
 	if !stop() && err == nil {
 		// ctx ended after the answer was complete: the answer is valid, but the
 		// connection is closed.
-		p.client.CloseConn(cc)
+		r.client.CloseConn(cc)
 		return answerOf(resp), true, nil
 	}
 	if err != nil || resp.ConnectionClose() {
-		p.client.CloseConn(cc)
+		r.client.CloseConn(cc)
 	} else {
-		p.client.ReleaseConn(cc)
+		r.client.ReleaseConn(cc)
 	}
 	if err != nil {
 		return Answer{}, conn.written > 0, err
@@ -155,12 +155,12 @@
 	return answerOf(resp), true, nil
 }
 
-func (p *Requester) roundTrip(conn net.Conn, path string, body []byte, resp *fasthttp.Response) error {
+func (r *Requester) roundTrip(conn net.Conn, path string, body []byte, resp *fasthttp.Response) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.SetRequestURI(path)
-	req.Header.SetHost(p.client.Addr)
+	req.Header.SetHost(r.client.Addr)
 	req.Header.SetContentType("application/json")
 	req.SetBodyRaw(body)
 	bw := bufio.NewWriter(conn)
@@ -170,7 +170,7 @@
 	if err := bw.Flush(); err != nil {
 		return err
 	}
-	return resp.ReadLimitBody(bufio.NewReader(conn), p.options.MaxAnswerBytes)
+	return resp.ReadLimitBody(bufio.NewReader(conn), r.options.MaxAnswerBytes)
 }
 
 func answerOf(resp *fasthttp.Response) Answer {
--- a/internal/requester/requester_test.go
+++ b/internal/requester/requester_test.go
@@ -51,9 +51,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			p, stop := requester.New(startRawServer(t, text), requester.Options{MaxAnswerBytes: 1000})
+			r, stop := requester.New(startRawServer(t, text), requester.Options{MaxAnswerBytes: 1000})
 			defer stop()
-			_, err := p.Post(t.Context(), "/x", struct{}{})
+			_, err := r.Post(t.Context(), "/x", struct{}{})
 			var e *requester.Error
 			is.True(errors.As(err, &e))
 			is.True(e.Sent)
@@ -64,11 +64,11 @@
 // Guards against a call that is canceled before it is sent and is reported as sent.
 func TestCanceledCallIsNotSent(t *testing.T) {
 	is := is.New(t)
-	p, stop := requester.New(startRawServer(t, ""), requester.Options{})
+	r, stop := requester.New(startRawServer(t, ""), requester.Options{})
 	defer stop()
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err := p.Post(ctx, "/x", struct{}{})
+	_, err := r.Post(ctx, "/x", struct{}{})
 	var e *requester.Error
 	is.True(errors.As(err, &e))
 	is.True(!e.Sent)
@@ -82,7 +82,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	defer func() { _ = l.Close() }()
-	p, stop := requester.New(l.Addr().(*net.TCPAddr).AddrPort(), requester.Options{Timeout: time.Second})
+	r, stop := requester.New(l.Addr().(*net.TCPAddr).AddrPort(), requester.Options{Timeout: time.Second})
 	defer stop()
 	accepted := make(chan int, 10)
 	go func() {
@@ -96,7 +96,7 @@
 			_ = c.Close()
 		}
 	}()
-	_, err = p.Post(t.Context(), "/x", struct{}{})
+	_, err = r.Post(t.Context(), "/x", struct{}{})
 	is.True(err != nil)
 	is.NoErr(l.Close())
 	last := 0
