--- a/internal/emulator/backend.go
+++ b/internal/emulator/backend.go
@@ -29,7 +29,7 @@
 	DefaultSlots              = 8
 	DefaultConnections        = 64
 	DefaultServiceTime        = 5 * time.Millisecond
-	DefaultAnswerPaddingBytes = 512 // bytes of padding
+	DefaultAnswerPaddingBytes = 512
 	// maxCountedIdentities limits the memory of Executions: the number of request
 	// identities, and of tokens, whose executions are counted.
 	maxCountedIdentities = 1 << 20
@@ -42,9 +42,10 @@
 const (
 	ShapeFixed       TimeShape = "fixed"
 	ShapeExponential TimeShape = "exponential"
-	ShapeLogNormal   TimeShape = "lognormal" // median ServiceTime/e^(1/8), sigma 0.5
+	ShapeLogNormal   TimeShape = "lognormal" // sigma 0.5 (logNormalSigma), median ServiceTime/e^(1/8)
 )
 
+// logNormalSigma is the standard deviation of the logarithm of service times with ShapeLogNormal.
 const logNormalSigma = 0.5
 
 // BackendOptions configures a Backend. Zero fields take the defaults.
@@ -55,7 +56,7 @@
 	Connections        int
 	ServiceTime        time.Duration // mean, without slowdown
 	Shape              TimeShape     // default: lognormal
-	AnswerPaddingBytes int           // bytes of padding
+	AnswerPaddingBytes int           // padding in each answer body
 	Executions         *Executions   // shared by the instances of a test; default: its own
 	Faults             Faults
 	Seed               uint64
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -19,7 +19,7 @@
 	Slow          time.Duration // delay before a call takes effect
 	SlowFactor    float64       // multiplies service times and run times; 0 is 1
 	LoseAnswers   float64       // share of calls whose connection is closed after the effect
-	FreezeReports bool          // a worker repeats its last report from before this was set
+	FreezeReports bool          // a worker repeats the last report that it sent before this was set
 	FailTasks     bool          // every task that starts fails
 	HalfAnswers   float64       // share of answers truncated in the middle of the body
 	LateAnswers   float64       // share of answers that are delayed by LateBy, after the effect
@@ -45,8 +45,8 @@
 	fs.BoolVar(&f.CutAnswers, "cut-answers", false, "fault: calls take effect and are not answered")
 }
 
-// maxUnansweredTime is how long a call that gets no answer keeps its connection open at
-// most.
+// maxUnansweredTime is the maximum time for which a call that gets no answer keeps its
+// connection open.
 const maxUnansweredTime = time.Minute
 
 // faultInjector holds the faults in effect and decides with a seeded random source which
--- a/internal/emulator/interference.go
+++ b/internal/emulator/interference.go
@@ -19,8 +19,8 @@
 	maxMeasurementError = 0.05
 )
 
-// Interference is the model of how tasks on a machine slow each other; the product does
-// not know its coefficients. They depend only on the seed, so that runs are reproducible.
+// Interference is the model of how tasks on a machine slow each other. The product has no
+// access to its coefficients. They depend only on the seed, so that runs are reproducible.
 type Interference struct {
 	seed           uint64
 	maxCoefficient float64
@@ -32,8 +32,8 @@
 	return &Interference{seed: seed, maxCoefficient: maxCoefficient, pairs: make(map[[2]string]float64)}
 }
 
-// Set sets the coefficient by which other slows class. It must not be called after a
-// machine uses the model.
+// Set sets the coefficient by which other slows class. It must not be called once a machine
+// uses the model.
 func (i *Interference) Set(class, other string, coefficient float64) {
 	i.pairs[[2]string{class, other}] = coefficient
 }
--- a/internal/emulator/machine.go
+++ b/internal/emulator/machine.go
@@ -157,7 +157,7 @@
 	m.leaving = leaving
 }
 
-// Advance advances the machine's state to the current time, as every call does.
+// Advance advances the machine's state to the current time, as every other call does first.
 func (m *Machine) Advance() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -498,7 +498,7 @@
 	return a, err
 }
 
-// call calls do with the machine at an address and applies the machine's faults.
+// call calls do with the machine at an address, and applies the machine's injected faults.
 func (f Fleet) call(address netip.AddrPort, do func(*Machine)) error {
 	m, ok := f[address]
 	if !ok {
--- a/internal/emulator/progress.go
+++ b/internal/emulator/progress.go
@@ -8,11 +8,12 @@
 )
 
 const (
+	// reasonLeaseEnded is the reason in reports of a task that was stopped at the end of its lease.
 	reasonLeaseEnded = "lease ended"
 	// maxSamplesPerTask is the number of newest measurements kept for each task.
 	maxSamplesPerTask = 64
-	// maxStepsPerAdvance limits one call of advanceLocked: a machine that was not called for a
-	// long time catches up with one sample per step.
+	// maxStepsPerAdvance limits the steps of one call of advanceLocked. A machine that was not
+	// called for a long time makes at least one step for each sample since then.
 	maxStepsPerAdvance = 1 << 20
 )
 
@@ -39,8 +40,8 @@
 	slowdown float64
 }
 
-// rate returns the work that the task does per unit of time; factor is the slow factor of
-// the injected faults.
+// rate returns the work that the task does per unit of time. factor is the factor by which an
+// injected fault multiplies run times.
 func (t *task) rate(l taskLoad, factor float64) float64 {
 	if t.state != commander.TaskRunning {
 		return 0
@@ -217,7 +218,8 @@
 	}
 }
 
-// handleLeaseEnd stops a task whose lease ends, or begins to.
+// handleLeaseEnd stops a task whose lease has ended, or begins to stop a task at its
+// leaseActionTime.
 func (m *Machine) handleLeaseEnd(t *task) {
 	if m.clock < m.leaseActionTime(t) {
 		return
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -43,9 +43,9 @@
 	return l, l.Addr().(*net.TCPAddr).AddrPort(), nil
 }
 
-// newServer returns a server that passes each call first to control, which reports whether
-// it handled the path and is exempt from faults, and otherwise to handler. It serves
-// after start.
+// newServer returns a server that serves after start. It passes each call to control, which
+// reports whether it has handled the call. Calls that control handles are exempt from faults.
+// Other calls are passed to handler, with the injected faults.
 func newServer(address netip.AddrPort, f *faultInjector, control func(*fasthttp.RequestCtx) bool, handler fasthttp.RequestHandler) *server {
 	s := &server{address: address, faults: f, stopped: make(chan struct{})}
 	s.http = &fasthttp.Server{
@@ -152,8 +152,8 @@
 // disconnected.
 const disconnectPollInterval = 20 * time.Millisecond
 
-// closedByPeer reports whether the client has closed the connection; fasthttp does not
-// detect that while a handler runs. It reads with MSG_PEEK, so that the first byte of a
+// closedByPeer reports whether the client has closed the connection, which fasthttp does not
+// detect while a handler runs. It reads with MSG_PEEK, so that the first byte of a
 // next request stays in the socket.
 func closedByPeer(c net.Conn) bool {
 	sc, ok := c.(syscall.Conn)
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -16,9 +16,9 @@
 
 // Defaults of StoreOptions.
 const (
-	DefaultWritesPerSecond = 400  // per second
-	DefaultReadsPerSecond  = 2000 // per second
-	// burstSeconds is the burst of the rate limits, in seconds of calls at the rate.
+	DefaultWritesPerSecond = 400
+	DefaultReadsPerSecond  = 2000
+	// burstSeconds is the burst of the rate limits, in seconds of calls at the limit.
 	burstSeconds = 0.25
 	// DefaultMaxEvents is the size of the event log; older events are compacted.
 	DefaultMaxEvents    = 10000
@@ -28,14 +28,14 @@
 
 // StoreOptions configures a Store. Zero fields take the defaults.
 type StoreOptions struct {
-	WritesPerSecond float64       // writes per second
-	ReadsPerSecond  float64       // reads per second
+	WritesPerSecond float64       // limit of the write rate
+	ReadsPerSecond  float64       // limit of the read rate
 	MaxEvents       int           // size of the event log that watches read
 	HostListAge     time.Duration // age of the host list
 }
 
 // StoreCounts counts calls by kind since the start. Waiting is the number of watches that
-// wait at present; each watch is counted once in Watch.
+// wait at present, and MostWaiting its maximum. Each watch is counted once in Watch.
 type StoreCounts struct {
 	Get, List, CompareAndSwap, Delete, Watch, Hosts int
 	LeaseGrant, LeaseKeep                           int
@@ -64,6 +64,7 @@
 	expiresAt time.Time
 }
 
+// hostSnapshot is a list of hosts that SetHosts has set, and the time of that call.
 type hostSnapshot struct {
 	setAt time.Time
 	hosts []storer.Host
@@ -80,8 +81,8 @@
 	nextLease         uint64
 	revision          uint64
 	events            []storer.Entry
-	compactedRevision uint64 // revision of the newest event that left the event log
-	changed           chan struct{}
+	compactedRevision uint64        // revision of the newest event that left the event log
+	changed           chan struct{} // closed and replaced at each change
 	writes            *rate.Limiter
 	reads             *rate.Limiter
 	counts            StoreCounts
@@ -119,7 +120,7 @@
 	return s.counts
 }
 
-// SetHosts sets the actual hosts. Hosts returns them once HostLag has passed.
+// SetHosts sets the actual hosts. Hosts returns them once HostListAge has passed.
 func (s *Store) SetHosts(hosts []storer.Host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -359,8 +360,8 @@
 	return max(d, time.Millisecond)
 }
 
-// expireLocked removes ended leases and their keys. It runs at each call and when a waiting
-// watch reaches the end of a lease, so that it needs no goroutine.
+// expireLocked removes ended leases and their keys. Each call runs it, and each waiting watch
+// when a lease ends, so no goroutine is needed for the expiry.
 func (s *Store) expireLocked(now time.Time) {
 	for name, l := range s.leases {
 		if now.Before(l.expiresAt) {
