--- a/internal/estimator/estimate.go
+++ b/internal/estimator/estimate.go
@@ -35,7 +35,7 @@
 	operatorListsPerSecond    = 1.0 / 60 // of all jobs by operators at each entry host
 )
 
-// roleUsage holds the needs of one role of an entry host, for example slot grants.
+// roleUsage holds the usage of one role of an entry host, for example slot grants.
 type roleUsage struct {
 	Role           string
 	StateBytes     float64 // bytes of the role's tables, encoded or as heap
@@ -45,7 +45,7 @@
 	HeapBytes      float64
 }
 
-// systemUsage holds the needs of a deployment with a number of entry hosts.
+// systemUsage holds the usage of a deployment with a number of entry hosts.
 type systemUsage struct {
 	Hosts, Shards  int
 	Peak           bool        // at the peak of starts, otherwise on average over a day
@@ -56,7 +56,7 @@
 	JournalBytes   float64   // of one shard
 	ConfigBytes    float64   // of the configuration's text
 	HeartbeatBytes float64   // of a heartbeat within a failure domain, with claims and notices
-	AnswerBytes    float64   // of its answer's endpoints and grants
+	AnswerBytes    float64   // of the endpoints and grants in a heartbeat's answer
 	StartsPerShard float64   // per second
 }
 
@@ -98,7 +98,7 @@
 	jobsPerPage             = 500.0
 )
 
-// model estimates the needs of a deployment from measured series.
+// model estimates the usage of a deployment from measured series.
 type model struct {
 	deployment    Deployment
 	series        map[string]Series
@@ -114,7 +114,7 @@
 	return m
 }
 
-// lookup returns a series, and records its name as missing if it has no samples.
+// lookup returns a series. If the series has no samples, lookup records the name as missing.
 func (m model) lookup(name string) Series {
 	s, ok := m.series[name]
 	if !ok || len(s.Samples) == 0 {
@@ -124,7 +124,7 @@
 }
 
 // scaled returns the model of a deployment that is larger by a factor. The numbers of failure
-// domains and services, the size of shards and the requests per entry host stay.
+// domains and services, the size of shards and the requests per entry host are unchanged.
 func (m model) scaled(by float64) model {
 	z := &m.deployment
 	for _, n := range []*int{&z.Workers, &z.Accelerators, &z.Batch, &z.Instances, &z.Teams, &z.RestartedHosts} {
@@ -199,7 +199,7 @@
 	return l
 }
 
-// estimate returns the needs with a number of entry hosts, on average over a day or at the
+// estimate returns the usage with a number of entry hosts, on average over a day or at the
 // peak of starts.
 func (m model) estimate(hosts int, peak bool) systemUsage {
 	l := m.layout(hosts, peak)
@@ -300,10 +300,10 @@
 	return t
 }
 
-// shardOwnership returns the needs of owning shards and placing their tasks.
+// shardOwnership returns the usage of owning shards and placing their tasks.
 func (m model) shardOwnership(l layout, journal float64, t journalTraffic) roleUsage {
 	jobs := float64(m.deployment.Batch) / l.shards
-	// The size of the journal relative to a measured one, which has no instances and ended jobs.
+	// The size of the journal relative to a measured one, which has neither instances nor ended jobs.
 	journalRatio := journal / m.bytesAt(journalEncodeByJobs, jobs)
 	workers := l.workersPerShard * l.shardsPerHost
 	messages, commands := m.messagesPerSecond(l), m.commandsPerSecond(l)
@@ -347,27 +347,27 @@
 	return m.countAt(callsIdleByHosts+": reads", l.hostsPerDomain) / l.hostsPerDomain
 }
 
-// membershipHeartbeats returns the needs of heartbeats with identity, notices, claims and
+// membershipHeartbeats returns the usage of heartbeats with identity, notices, claims and
 // promises, and the size of one.
 func (m model) membershipHeartbeats(l layout) (u roleUsage, size float64) {
 	notices := m.countAt(noticesByRestartedHosts, float64(m.deployment.RestartedHosts))
 	size = m.bytesAt(heartbeatByShards, l.shardsPerHost) + m.lookup(heartbeatByNotices).Fit(bytesOf).Slope*notices
 	took := m.timeAt(heartbeatByShards, l.shardsPerHost) + m.lookup(heartbeatByNotices).Fit(timeOf).Slope*notices
-	begun := nearHeartbeatsPerSecond*l.nearPeers + farHeartbeatsPerSecond*l.farPeers
+	heartbeatsPerSecond := nearHeartbeatsPerSecond*l.nearPeers + farHeartbeatsPerSecond*l.farPeers
 	// A host sends as many heartbeats as it answers. A heartbeat and its answer have about
 	// the same size, because the answer has a promise for each claim.
 	return roleUsage{
-		Role: "membership heartbeats", StateBytes: size, CallsPerSecond: 2 * begun, BytesPerSecond: 4 * begun * size,
-		CorePercent: corePercent(2 * begun * took), HeapBytes: m.bytesAt(registrarHeap, notices),
+		Role: "membership heartbeats", StateBytes: size, CallsPerSecond: 2 * heartbeatsPerSecond, BytesPerSecond: 4 * heartbeatsPerSecond * size,
+		CorePercent: corePercent(2 * heartbeatsPerSecond * took), HeapBytes: m.bytesAt(registrarHeap, notices),
 	}, size
 }
 
-// slotGrants returns the needs of slot demand, endpoints and grants in the heartbeats within a
+// slotGrants returns the usage of slot demand, endpoints and grants in the heartbeats within a
 // failure domain, and the size of an answer.
 func (m model) slotGrants(l layout) (u roleUsage, answer float64) {
-	domain := float64(m.deployment.Instances) / float64(m.deployment.Domains)
-	granted := domain / l.hostsPerDomain // instances whose slots one host grants
-	begun := nearHeartbeatsPerSecond * l.nearPeers
+	instancesPerDomain := float64(m.deployment.Instances) / float64(m.deployment.Domains)
+	granted := instancesPerDomain / l.hostsPerDomain // instances whose slots one host grants
+	heartbeatsPerSecond := nearHeartbeatsPerSecond * l.nearPeers
 	demandSize := m.lookup(demandByInstances).Fit(bytesOf).Slope * granted
 	name := grantsByInstances
 	if m.optimizations.endpointDelta {
@@ -376,12 +376,12 @@
 	answer = m.bytesAt(name, granted)
 	took := m.timeAt(name, granted) + m.lookup(demandByInstances).Fit(timeOf).Slope*granted
 	return roleUsage{
-		Role: "slot grants", StateBytes: l.nearPeers * answer, BytesPerSecond: 2 * begun * (demandSize + answer),
-		CorePercent: corePercent(begun * took), HeapBytes: m.bytesAt(allocatorHeap, granted),
+		Role: "slot grants", StateBytes: l.nearPeers * answer, BytesPerSecond: 2 * heartbeatsPerSecond * (demandSize + answer),
+		CorePercent: corePercent(heartbeatsPerSecond * took), HeapBytes: m.bytesAt(allocatorHeap, granted),
 	}, answer
 }
 
-// configurationFollowing returns the needs of following the configuration, and the bytes read
+// configurationFollowing returns the usage of following the configuration, and the bytes read
 // per second.
 func (m model) configurationFollowing(text float64) (u roleUsage, reads float64) {
 	changes := m.deployment.ConfigurationsPerDay / secondsPerDay
@@ -400,7 +400,7 @@
 	}, reads
 }
 
-// decisionRecords returns the needs of recording decisions.
+// decisionRecords returns the usage of recording decisions.
 func (m model) decisionRecords(l layout) roleUsage {
 	// All records are counted with the size of a start's record, which has candidates.
 	perSecond := l.shardsPerHost*m.interpolate(shardSecondByStarts+recordsSuffix, l.startsPerSecond, countOf) + m.deployment.RoutingDecisionsPerHost
@@ -412,7 +412,7 @@
 	}
 }
 
-// operatorInterface returns the needs of operators' lists of jobs.
+// operatorInterface returns the usage of operators' lists of jobs.
 func (m model) operatorInterface() roleUsage {
 	jobs := float64(m.deployment.Batch)
 	if m.optimizations.listPages {
@@ -426,12 +426,12 @@
 	}
 }
 
-// requestRouting returns the needs of callers' requests.
+// requestRouting returns the usage of callers' requests.
 func (m model) requestRouting() roleUsage {
-	domain := float64(m.deployment.Instances) / float64(m.deployment.Domains)
-	service := domain / float64(m.deployment.Services)
+	instancesPerDomain := float64(m.deployment.Instances) / float64(m.deployment.Domains)
+	service := instancesPerDomain / float64(m.deployment.Services)
 	// At most the requests of one second wait.
-	heap := m.bytesAt(routerHeapByInstance, domain) + m.bytesAt(limiterHeap, m.deployment.RequestsPerHost)
+	heap := m.bytesAt(routerHeapByInstance, instancesPerDomain) + m.bytesAt(limiterHeap, m.deployment.RequestsPerHost)
 	return roleUsage{
 		Role: "receiving and routing requests", StateBytes: heap, CallsPerSecond: 2 * m.deployment.RequestsPerHost,
 		CorePercent: corePercent(m.deployment.RequestsPerHost * (m.timeAt(pickByInstances, service) + m.timeAt(offerByInstances, service))), HeapBytes: heap,
--- a/internal/estimator/estimator.go
+++ b/internal/estimator/estimator.go
@@ -98,7 +98,8 @@
 		time.Now().UTC().Format("2006-01-02 15:04 UTC"), runtime.Version(), runtime.GOOS, runtime.GOARCH, runtime.NumCPU(), seed, repetitions)
 }
 
-// printEstimates prints the needs and limits with a number of entry hosts.
+// printEstimates prints the estimated usage, and the limits that apply, with a number of entry
+// hosts.
 func printEstimates(w *bytes.Buffer, m model, hosts int) {
 	average, peak := m.estimate(hosts, false), m.estimate(hosts, true)
 	fmt.Fprintf(w, "\n## With %d entry hosts and %d shards\n", hosts, average.Shards)
@@ -168,7 +169,8 @@
 	{"configuration read by generation", func(c *optimizations) { c.configKey = true }},
 }
 
-// printOptimizations prints the estimates with each optimization and all before it.
+// printOptimizations prints the estimates after each optimization, with all optimizations before
+// it applied as well.
 func printOptimizations(w *bytes.Buffer, m model, hosts int) {
 	fmt.Fprint(w, "\nControl on an entry host after each change and those before it, none of which is made yet:\n\n")
 	fmt.Fprint(w, "| change | bytes/s, average | bytes/s, peak | % of a core, average | % of a core, peak | store writes/s, peak |\n|---|---:|---:|---:|---:|---:|\n")
--- a/internal/estimator/measure.go
+++ b/internal/estimator/measure.go
@@ -422,8 +422,8 @@
 	return out, first
 }
 
-// randomReader is an io.Reader of random numbers from a seeded source. It is not secure, and
-// makes only the key that signs generated configurations.
+// randomReader is an io.Reader of random numbers from a seeded source. It is not secure. It is
+// used only to generate the key that signs generated configurations.
 type randomReader struct{ random *rand.Rand }
 
 func (r randomReader) Read(b []byte) (int, error) {
@@ -458,8 +458,8 @@
 	}
 }
 
-// measureOffer measures the handling of one request by the limiter, while running requests
-// occupy slots and one request of each of the first teams is queued.
+// measureOffer measures the handling of one request by the limiter, while a number of requests
+// is running and a number of requests is queued, both spread over the teams.
 func (s measurer) measureOffer(running, teams, waiting int) Sample {
 	var ts []configurator.Team
 	for i := range teams {
--- a/internal/estimator/store.go
+++ b/internal/estimator/store.go
@@ -87,7 +87,7 @@
 	IdleReadsPerHost      float64               // watches and lists of journals per second without starts
 	IdleReadRatio         float64               // journal bytes that one host reads per byte written, without starts
 	StartReadRatio        float64               // journal bytes that one host reads per byte written, while jobs start
-	JournalsOwned         int                   // after claimDuration
+	JournalsOwned         int                   // claims of all hosts after claimDuration
 	HistoryCallsPerShard  float64               // calls for the job history per second while jobs start and end
 }
 
@@ -102,8 +102,8 @@
 )
 
 // countStoreCalls runs the shard owners of one failure domain against an emulated store and
-// counts their calls, first without starts and then while jobs start at a rate. It takes 24 s,
-// in virtual time inside a synctest bubble.
+// counts their calls, first without starts and then while jobs start at a rate. It takes 24 s;
+// inside a synctest bubble these are seconds of virtual time.
 func countStoreCalls(ctx context.Context, hosts, shards, rate int, seed uint64) (StoreCalls, error) {
 	const workers = 4 // of each shard
 	out := StoreCalls{Hosts: hosts, Shards: shards, Rate: rate}
