--- a/internal/evaluator/entry.go
+++ b/internal/evaluator/entry.go
@@ -54,7 +54,7 @@
 	return e
 }
 
-// start starts a process of the entry host, which uses no slots until holdUntil.
+// start starts a process of the entry host. The process uses no slots until holdUntil.
 func (e *entryHost) start(holdUntil time.Time) {
 	e.alive = true
 	e.incarnation++
@@ -80,7 +80,7 @@
 	}
 }
 
-// restart starts a new process. It uses no slots until the requests of the previous process
+// restart starts a new process. The process uses no slots until the requests of the previous process
 // have timed out, because they may still run on the instances.
 func (e *entryHost) restart() { e.start(e.sim.now.Add(requestTimeout)) }
 
@@ -179,8 +179,8 @@
 	e.dispatch(q.service)
 }
 
-// dispatch starts queued requests of a service in its free slots, and tells the router how
-// many requests stay queued.
+// dispatch starts queued requests of a service in its free slots, and sets the number of
+// requests that stay queued in the router.
 func (e *entryHost) dispatch(service int) {
 	name := e.sim.firm.Services[service]
 	if e.limiter.Queued(name) > 0 {
--- a/internal/evaluator/evaluator_test.go
+++ b/internal/evaluator/evaluator_test.go
@@ -33,10 +33,10 @@
 	is.Equal(out[0].String(), out[1].String())
 }
 
-// targetRows returns the rows on which the targets of section 1.7 are checked, with a third of
-// each firm's hosts and 1 virtual minute. 2 minutes of 8 scenarios took 19 minutes of
-// processor time with the race detector; with a fifth of the hosts a failure domain has too
-// few instances to choose among.
+// targetRows returns the rows on which the targets of section 1.7 of the design page are checked,
+// with a third of each firm's hosts and 1 virtual minute. Longer runs take too long with the
+// race detector: 2 minutes of 8 scenarios take 19 minutes of processor time. With a fifth of the
+// hosts, a failure domain has too few instances to choose among.
 var targetRows = sync.OnceValue(func() []Row {
 	return evaluate(append([]Policies{ProductPolicies}, BaselinePolicies()...), "steady", "noisy", "slow")
 })
@@ -50,7 +50,8 @@
 	return Evaluate(firms, scenarios, policies, []uint64{targetSeed}, time.Minute, time.Minute)
 }
 
-// targetSeed is not among the seeds used for tuning, 1 to 20.
+// targetSeed is not among the seeds with which the policies are tuned, 1 to 20, so that the
+// targets are checked under a load for which the policies are not tuned.
 const targetSeed = 101
 
 // compareWithBaselines calls f with the product's row and the best value of the baselines for
@@ -95,8 +96,8 @@
 	})
 }
 
-// TestTargetEvictions guards against more than half of the best baseline's evictions with
-// Dimasalang's weights, summed over the scenarios.
+// TestTargetEvictions guards against more than half as many evictions as the best baseline's,
+// with Dimasalang's weights and summed over the scenarios.
 func TestTargetEvictions(t *testing.T) {
 	product, baseline := 0, 0
 	compareWithBaselines(func(r *Row) int { return r.Evictions }, less, func(p *Row, best int) {
--- a/internal/evaluator/firm.go
+++ b/internal/evaluator/firm.go
@@ -85,18 +85,18 @@
 
 // Times and limits of workers and their control.
 const (
-	tickInterval         = time.Second             // between two updates of the workers' tasks
-	reportInterval       = time.Second             // between two reports of a worker
-	placementInterval    = 500 * time.Millisecond  // between two placement passes over pending tasks
-	startDelay           = 300 * time.Millisecond  // from a decision to its command's arrival, including the journal write
-	checkpointDuration   = 1500 * time.Millisecond // of a checkpoint before a stop
-	checkpointInterval   = time.Minute             // between two periodic checkpoints of a job
-	lossDetectionDelay   = 20 * time.Second        // from a worker's crash until its tasks count as lost
-	domainRecoveryDelay  = 60 * time.Second        // from the loss of a failure domain until its jobs resume elsewhere
-	instanceStartTime    = 2 * time.Second         // from start of an instance to its first request
-	leavingNoticeDelay   = 5 * time.Second         // guarantee 7: after it no task starts on a leaving worker
-	minReportLag         = 500 * time.Millisecond  // from measurement to arrival of a report
-	maxReportLag         = 2 * time.Second         // from measurement to arrival of a report
-	maxPlacementsPerPass = 40                      // failed placements of a shard's pass
-	taskFailureDelay     = time.Second             // from start to failure of a task on a worker that fails all tasks
+	tickInterval               = time.Second             // between two updates of the workers' tasks
+	reportInterval             = time.Second             // between two reports of a worker
+	placementInterval          = 500 * time.Millisecond  // between two placement passes over pending tasks
+	startDelay                 = 300 * time.Millisecond  // from a decision to its command's arrival, including the journal write
+	checkpointDuration         = 1500 * time.Millisecond // of a checkpoint before a stop
+	checkpointInterval         = time.Minute             // between two periodic checkpoints of a job
+	lossDetectionDelay         = 20 * time.Second        // from a worker's crash until its tasks count as lost
+	domainRecoveryDelay        = 60 * time.Second        // from the loss of a failure domain until its jobs resume elsewhere
+	instanceStartTime          = 2 * time.Second         // from the start of an instance until it accepts requests
+	leavingNoticeDelay         = 5 * time.Second         // from the notice until no task may start on the leaving worker (guarantee 7)
+	minReportLag               = 500 * time.Millisecond  // from measurement to arrival of a report
+	maxReportLag               = 2 * time.Second         // from measurement to arrival of a report
+	maxFailedPlacementsPerPass = 40                      // failed placements after which a shard's pass ends
+	taskFailureDelay           = time.Second             // from start to failure of a task on a worker that fails all tasks
 )
--- a/internal/evaluator/interference.go
+++ b/internal/evaluator/interference.go
@@ -8,7 +8,8 @@
 // batchClasses are the classes of jobs, including noisyClass.
 var batchClasses = []string{"dents", "valves", "dies", "records", "archive"}
 
-// noisyClass is the class with the highest interference coefficients, and with bursts.
+// noisyClass is the class that slows its neighbours most, with coefficients from 1.5 to 3.5, and
+// whose tasks have bursts. The coefficients of other classes are below 1.8.
 const noisyClass = "archive"
 
 // interferenceModel holds the interference coefficients, which the policies cannot read: the
--- a/internal/evaluator/loop.go
+++ b/internal/evaluator/loop.go
@@ -66,8 +66,8 @@
 // stream identifies one of the random number sources of a run.
 type stream uint64
 
-// Streams of the environment, followed by streamPolicy, the first stream of the policies: each
-// shard and each process of an entry host has its own stream from streamPolicy on.
+// Streams of the environment, and streamPolicy, the first stream of the policies. Each shard and
+// each process of an entry host has its own stream with a number from streamPolicy on.
 const (
 	streamInterference stream = iota + 1
 	streamArrivals
--- a/internal/evaluator/request.go
+++ b/internal/evaluator/request.go
@@ -39,8 +39,8 @@
 	repeatable     bool
 	executions     int      // attempts that an instance accepted
 	mayHaveRun     bool     // an attempt ended without an answer
-	finished       bool     // has its final outcome
-	attempt        *attempt // the last one
+	finished       bool     // has a final outcome
+	attempt        *attempt // the last attempt; nil: none yet
 	triedInstances []string
 	entryHost      *entryHost
 	limiterRequest limiter.Request
--- a/internal/evaluator/scenario.go
+++ b/internal/evaluator/scenario.go
@@ -13,8 +13,8 @@
 	injectFaults func(sm *simulation, length time.Duration) // when measuring starts
 }
 
-// setLoad sets the arrival rates at which the services use the given shares of their slots,
-// without interference.
+// setLoad sets the arrival rates at which the services, without interference, use the given
+// shares of their slots.
 func (sm *simulation) setLoad(shares ...float64) {
 	sm.baseRates = nil
 	for i, share := range shares {
@@ -32,7 +32,7 @@
 
 func noFaults(*simulation, time.Duration) {}
 
-// fraction returns a share of the run's length.
+// fraction returns a share of length.
 func fraction(length time.Duration, share float64) time.Duration {
 	return time.Duration(share * float64(length))
 }
@@ -111,19 +111,22 @@
 
 // Times of the scenario "rolling".
 const (
-	// A worker must not return before its tasks count as lost.
+	// workerAbsence is the time from a worker's removal until its return. A worker must not
+	// return before its tasks count as lost.
 	workerAbsence = lossDetectionDelay + 10*time.Second
-	// At this interval two workers of a failure domain are draining or absent at once.
+	// replacementInterval is the interval of replacements in a failure domain. With it, two
+	// workers of the failure domain are draining or absent at once.
 	replacementInterval = (drainDuration + workerAbsence) / 2
 )
 
-// addBursts enables the bursts of noisy tasks from 0.1 to 0.9 of the run.
+// addBursts enables the bursts of noisy tasks from 0.1 to 0.9 of the measured time.
 func addBursts(sm *simulation, l time.Duration) {
 	sm.after(fraction(l, 0.1), func() { sm.bursting = true })
 	sm.after(fraction(l, 0.9), func() { sm.bursting = false })
 }
 
-// crashTwoWorkers crashes two workers in different failure domains from 0.2 to 0.8 of the run.
+// crashTwoWorkers crashes two workers in different failure domains at 0.2 of the measured time
+// and restores them at 0.8.
 func crashTwoWorkers(sm *simulation, l time.Duration) {
 	for _, i := range []int{2, len(sm.workers) - 3} {
 		sm.after(fraction(l, 0.2), func() { sm.crashWorker(sm.workers[i]) })
--- a/internal/evaluator/shard.go
+++ b/internal/evaluator/shard.go
@@ -13,7 +13,7 @@
 // job is a batch job.
 type job struct {
 	placer.Task
-	usage          configurator.Resources // actual, not declared, use without bursts and throttling
+	usage          configurator.Resources // actual, not declared, usage without bursts and throttling
 	workSeconds    float64                // run time without interference
 	savedSeconds   float64                // part of workSeconds in the last checkpoint of earlier runs
 	ended          bool
@@ -34,7 +34,7 @@
 	tasks     map[string]*task // assigned tasks by name
 	pending   []*task
 	version   uint64 // of the last change of the view
-	available bool   // processes reports and runs jobs
+	available bool   // if false, the shard processes no reports and runs no jobs
 	allocator *router.Allocator
 }
 
@@ -130,9 +130,9 @@
 		if t.job != nil && t.job.ended {
 			continue
 		}
-		if failed == maxPlacementsPerPass || !s.placeTask(t) {
+		if failed == maxFailedPlacementsPerPass || !s.placeTask(t) {
 			remaining = append(remaining, t)
-			failed = min(failed+1, maxPlacementsPerPass)
+			failed = min(failed+1, maxFailedPlacementsPerPass)
 		}
 	}
 	clear(s.pending[len(remaining):])
@@ -182,7 +182,7 @@
 	})
 }
 
-// latencyTarget is the target of a service's p99.
+// latencyTarget is the target for the p99 latency of a service.
 const latencyTarget = 800 * time.Millisecond
 
 // sendCommand marks a task as stopping in the view, and calls f for it after startDelay if it
@@ -228,7 +228,8 @@
 	}
 }
 
-// removeLostTasks ends the tasks of a crashed worker, after their leases have ended.
+// removeLostTasks ends the tasks of a crashed worker. It is called after their leases have
+// ended.
 func (s *shard) removeLostTasks(w *worker, tasks []*task) {
 	for _, t := range tasks {
 		s.sim.endTask(w, t, endWorkerLost)
--- a/internal/evaluator/simulation.go
+++ b/internal/evaluator/simulation.go
@@ -65,7 +65,7 @@
 
 	instances           []*instance
 	instancesByName     map[string]*instance
-	unfinishedRequests  map[int]*request // without a final outcome, by number
+	unfinishedRequests  map[int]*request // requests without a final outcome, by number
 	storeAvailable      bool
 	deferredSubmissions []func() // made while the store was unavailable
 	bursting            bool     // noisy tasks have bursts
@@ -77,7 +77,8 @@
 	arrivalRnd, serviceRnd, jobRnd, reportRnd, faultRnd *rand.Rand
 }
 
-// DefaultWarmUp is long enough to fill the workers and for the placer to estimate interference.
+// DefaultWarmUp is long enough for jobs to fill the workers and for the placer to estimate
+// interference.
 const DefaultWarmUp = 2 * time.Minute
 
 // Run simulates one configuration and returns its measurements.
@@ -286,7 +287,8 @@
 	sm.shards[w.domain].bumpVersion(v)
 }
 
-// crashDomain crashes all hosts of a failure domain. Its jobs resume in the next available one.
+// crashDomain crashes all hosts of a failure domain. Its jobs resume in the next available
+// failure domain.
 func (sm *simulation) crashDomain(d int) {
 	s := sm.shards[d]
 	s.available = false
@@ -355,8 +357,8 @@
 	}
 	w.leavingSince = sm.now
 	s := sm.shards[w.domain]
-	// Repeated, because tasks whose start command was under way when the notice arrived must
-	// be drained as well.
+	// The stop is repeated, because tasks whose start command was under way when the notice
+	// arrived must be drained as well.
 	for d := hostListDelay; d < drainDuration; d += time.Second {
 		sm.after(d, func() {
 			v := s.viewOf(w.name)
--- a/internal/evaluator/worker.go
+++ b/internal/evaluator/worker.go
@@ -14,19 +14,19 @@
 	placer.Task
 	job             *job                   // nil for an instance
 	instance        *instance              // nil for a job
-	usage           configurator.Resources // actual, not declared, use without bursts and throttling
+	usage           configurator.Resources // actual, not declared, usage without bursts and throttling
 	speedLimit      float64                // share of the full speed that throttling allows
 	startedAt       time.Time
 	lastCommandAt   time.Time // time of the last throttle or stop
 	stopping        bool
 	burstMultiplier float64 // multiplies the cores that a noisy task uses
-	slowdown        float64 // as of the last tick
+	slowdown        float64 // at the last tick; 0: none yet
 	doneSeconds     float64 // part of the job's workSeconds done in this run
 	savedSeconds    float64 // doneSeconds at the last checkpoint
 	checkpointedAt  time.Time
 }
 
-// coresPerRequest is the number of cores that a request in flight uses.
+// coresPerRequest is the number of cores that an instance uses for each request in flight.
 const coresPerRequest = 0.4
 
 func (t *task) coresInUse() float64 {
@@ -183,8 +183,8 @@
 	endCanceled      endReason = "cancelled"
 )
 
-// endTask removes a task from its worker, counts the result and notifies the shard. The work of
-// a job since its last checkpoint is lost if it ends without a final checkpoint.
+// endTask removes a task from its worker, counts the result and notifies the shard. If a job's
+// run ends without a final checkpoint, the work since the last checkpoint is lost.
 func (sm *simulation) endTask(w *worker, t *task, reason endReason) {
 	w.remove(t)
 	if t.instance != nil {
