--- a/pkg/composer/composition.go
+++ b/pkg/composer/composition.go
@@ -84,8 +84,8 @@
 	name        string
 }
 
-// FailureDomain adds a failure domain. successor names the failure domain that resumes
-// its jobs when it is unresponsive, empty for none.
+// FailureDomain adds a failure domain. successor names the failure domain that resumes the
+// jobs of this one when this one is unresponsive; empty for none.
 func (c *Composition) FailureDomain(name, region, successor string) *FailureDomain {
 	c.configuration.FailureDomains = append(c.configuration.FailureDomains, configurator.FailureDomain{Name: name, Region: region, Successor: successor})
 	return &FailureDomain{composition: c, name: name}
@@ -157,7 +157,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// A value with a line break can be printed as sections that the composition does not have.
+	// The printed text of a value with a line break can contain sections that the composition
+	// does not have.
 	if d := configurator.Diff(&c.configuration, parsed); d != "" {
 		return nil, fmt.Errorf("printed text describes another configuration than the composition:\n%s", d)
 	}
@@ -187,5 +188,5 @@
 // InvalidError lists all faults of a text.
 type InvalidError = configurator.InvalidError
 
-// Fault is one fault of a text: line, section, key, problem and what is allowed.
+// Fault is one fault of a text: its line, section and key, the problem and the allowed values.
 type Fault = configurator.Fault
--- a/pkg/composer/doc.go
+++ b/pkg/composer/doc.go
@@ -3,6 +3,7 @@
 // weights. The program prints the text that operators review, sign and apply. The same
 // program always prints the same text.
 //
-// Amounts of memory are in bytes (see the constants KB to TB), times are durations, and
-// numbers of cores may be fractional. Text returns all faults of a composition in one error.
+// Amounts of memory are in bytes (see the constants KB to TB), lengths of time are of type
+// time.Duration, and numbers of cores may be fractional. Composition.Text returns all faults of
+// a composition in one error.
 package composer
