--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
 // Command standin emulates the systems around peridotpitch for tests and demonstrations:
-// the platform, workers, backend servers, callers, and a network that can be cut.
+// the platform, workers, backend servers, callers, and a network whose connections can be cut.
 package main
 
 import (
