--- a/internal/coordinator/accept.go
+++ b/internal/coordinator/accept.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// maxTransactionAttempts bounds the transactions of one submission or cancel request. The
-	// transaction of a submission is retried if the term has changed, that of a cancel
-	// request if the job has changed.
+	// maxTransactionAttempts bounds the transactions of one submission or cancel request. A
+	// submission is retried if the term has changed, and a cancel request if the job has
+	// changed.
 	maxTransactionAttempts = 4
 	// defaultRetryAfter is how long a refused caller should wait before it retries. A store
 	// that limits the request rate or restarts usually serves requests again by then.
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -66,7 +66,7 @@
 	closeFuncs []func()
 }
 
-// New returns an entry host that Run starts.
+// New returns an entry host. Run starts it.
 func New(s Settings, p Dependencies, log *slog.Logger) *Coordinator {
 	processID := fmt.Sprintf("%s/%x", s.Name, rand.Uint64())
 	c := &Coordinator{
--- a/internal/coordinator/election.go
+++ b/internal/coordinator/election.go
@@ -55,8 +55,9 @@
 	// number of processor cores that the process may use (Settings.ProcessorShare).
 	campaignYieldDelay = 500 * time.Millisecond
 	// minProcessorShareRatio is the ratio of processor shares below which a host gives way
-	// to another. A host whose ratio to the last leader is smaller delays its campaign by
-	// campaignYieldDelay. A leader whose ratio to a ready host is smaller hands over to it.
+	// to another. A host whose ratio to the last leader's share is smaller delays its campaign
+	// by campaignYieldDelay. A leader whose ratio to the share of a ready host is smaller hands
+	// over to that host.
 	minProcessorShareRatio = 0.6
 	// termRetryDelay is the pause after a failed read of the term or after a campaign.
 	termRetryDelay = 150 * time.Millisecond
--- a/internal/coordinator/write.go
+++ b/internal/coordinator/write.go
@@ -43,8 +43,9 @@
 	}
 }
 
-// writeBatch writes the most urgent changes and reports whether the write was confirmed. If
-// all is set, the batch includes changes that would otherwise wait for a later one.
+// writeBatch writes the most urgent changes and reports whether the call to the store
+// succeeded. If all is set, the batch includes changes that would otherwise wait for a later
+// one.
 func (ld *leadership) writeBatch(ctx context.Context, all bool) bool {
 	ld.writeMu.Lock()
 	defer ld.writeMu.Unlock()
