--- a/internal/estimator/estimate.go
+++ b/internal/estimator/estimate.go
@@ -429,12 +429,12 @@
 // requestRouting returns the usage of callers' requests.
 func (m model) requestRouting() roleUsage {
 	instancesPerDomain := float64(m.deployment.Instances) / float64(m.deployment.Domains)
-	service := instancesPerDomain / float64(m.deployment.Services)
+	instancesPerService := instancesPerDomain / float64(m.deployment.Services)
 	// At most the requests of one second wait.
 	heap := m.bytesAt(routerHeapByInstance, instancesPerDomain) + m.bytesAt(limiterHeap, m.deployment.RequestsPerHost)
 	return roleUsage{
 		Role: "receiving and routing requests", StateBytes: heap, CallsPerSecond: 2 * m.deployment.RequestsPerHost,
-		CorePercent: corePercent(m.deployment.RequestsPerHost * (m.timeAt(pickByInstances, service) + m.timeAt(offerByInstances, service))), HeapBytes: heap,
+		CorePercent: corePercent(m.deployment.RequestsPerHost * (m.timeAt(pickByInstances, instancesPerService) + m.timeAt(offerByInstances, instancesPerService))), HeapBytes: heap,
 	}
 }
 
