--- a/internal/router/allocator.go
+++ b/internal/router/allocator.go
@@ -28,7 +28,7 @@
 	epoch              uint64
 	reclaimDelay       time.Duration
 	startedAt          time.Time
-	settled            bool // earlier owners granted slots for the same number of hosts
+	settled            bool // earlier owners computed grants for the same number of hosts
 	hostCounts         hostCountHistory
 	hostsToAcknowledge map[string]bool // hosts that an earlier owner may have granted slots
 	endpoints          []messenger.Endpoint
@@ -45,7 +45,7 @@
 // which it may still use slots, and its latest demand.
 type allocation struct {
 	grants       []outstandingGrant
-	acknowledged bool // reported its use under this epoch, and no earlier process of the host can hold slots
+	acknowledged bool // the process reported its use under this epoch, and no earlier process of the host can hold slots
 	wantedSlots  int
 	reportedAt   time.Time
 }
@@ -78,8 +78,8 @@
 func (a *Allocator) Update(endpoints []messenger.Endpoint, hosts []string, settled bool, now time.Time) {
 	a.settled = a.settled || settled
 	a.hostCounts.record(len(hosts), now)
-	// A host that has been removed since then may still use slots that an earlier owner
-	// granted to it, so hosts are only added.
+	// Hosts are only added: a host that was removed from the configuration after startedAt
+	// may still use slots that an earlier owner granted.
 	if now.Sub(a.startedAt) < a.reclaimDelay {
 		for _, h := range hosts {
 			a.hostsToAcknowledge[h] = true
@@ -111,13 +111,13 @@
 	}
 }
 
-// HandleReport takes a host's report and returns its grants, one for each instance of the shard.
-// A grant of zero slots informs the host of this allocator's epoch.
+// HandleReport takes a host's report and returns the host's grants, one for each instance of
+// the shard. A grant of zero slots informs the host of this allocator's epoch.
 func (a *Allocator) HandleReport(p DemandReport, now time.Time) []messenger.SlotGrant {
 	hp := hostProcess{p.Host, p.Incarnation}
 	ordered := p.Sequence > 0
 	if ordered && p.Sequence <= a.lastSequences[hp] {
-		return nil // a delayed heartbeat, overtaken by a later one
+		return nil // a later heartbeat of the process arrived first
 	}
 	a.lastSequences[hp] = p.Sequence
 	a.lastReportAt[hp] = now
--- a/internal/router/choose.go
+++ b/internal/router/choose.go
@@ -16,8 +16,8 @@
 	// all choose the same instance: of n instances, none can get more than
 	// maxComparedInstances/n of the requests.
 	maxComparedInstances = 5
-	// assessInterval is the minimum time between two searches for slow instances, each of
-	// which sorts the instances of the service.
+	// assessInterval is the minimum time between two searches for slow instances. A search
+	// sorts the instances of the service.
 	assessInterval = 50 * time.Millisecond
 	// ejectLatencyRatio is the ratio to the typical latency above which an instance counts
 	// as slow and can be ejected.
@@ -38,7 +38,7 @@
 	// interval doubles after each probe.
 	minProbeInterval = 500 * time.Millisecond
 	// maxProbeInterval bounds the interval between probes. After this time an instance is
-	// probed even if that exceeds maxProbeFraction.
+	// probed even if the probe exceeds maxProbeFraction.
 	maxProbeInterval = 8 * time.Second
 	// costPerFailure is the penalty for each recent not-run outcome, as a multiple of the
 	// cost without failures.
--- a/internal/router/instance.go
+++ b/internal/router/instance.go
@@ -19,8 +19,8 @@
 	// relative to the typical latency of the service, so that old samples stop counting.
 	latencyHalfLife = 20 * time.Second
 	// reportedLoadHalfLife is the time in which the weight of a reported number of used
-	// slots halves. It corresponds to a few service times at the sizes of section
-	// 1.1 of the design page.
+	// slots halves. It is a few times the service time at the sizes of section 1.1 of the
+	// design page.
 	reportedLoadHalfLife = 100 * time.Millisecond
 	// inFlightAgeWeight is the weight of the age of a request in flight in the latency
 	// estimate. With exponential service times and a weight of 1, one request in 20 would
@@ -34,10 +34,10 @@
 	listed         bool                       // in the latest Update
 	inFlight       map[uint64]inFlightRequest // by ticket
 	abandonedUntil []time.Time                // times until which slots of abandoned requests count as used
-	grantedSlots   int                        // of the pool
+	grantedSlots   int                        // pool slots that the latest grant allows
 	grantExpiresAt time.Time
 	granter        string               // peer that sent the latest grant
-	granterEpoch   uint64               // highest epoch of a grant
+	granterEpoch   uint64               // epoch of the latest applied grant
 	lastDemandAt   map[string]time.Time // time of the latest demand to each peer
 	wantedSlots    int                  // highest demand within demandRetention
 	wantedAt       time.Time
--- a/internal/router/main_test.go
+++ b/internal/router/main_test.go
@@ -8,8 +8,10 @@
 	"testing"
 )
 
-// TestMain fixes the seed of rapid, so that every run of CI tests the same inputs. Another
-// seed can be given with -rapid.seed.
+// TestMain fixes the seed of the property-based tests (pgregory.net/rapid), so that every run
+// of CI tests the same inputs. It also sets the numbers of checks and of steps per check, and
+// no file with the failing input is written. Another seed can be given with -rapid.seed; the
+// other settings then keep rapid's defaults or the values of their flags.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -30,22 +30,22 @@
 	owner           string
 	epoch           uint64
 	allocator       *Allocator
-	allocated       int // number of configured hosts that the allocator uses
+	allocatorHosts  int // number of hosts in the configuration that the allocator uses
 	adoptsAt        time.Time
 	running         []*modelRequest
 	answers         []modelAnswer
-	requests        int
+	requestCount    int
 	grantedSlots    int
 }
 
 type modelHost struct {
-	name        string
-	process     int
-	router      *Router
-	knownHosts  int       // number of configured hosts that it uses
-	adoptsAt    time.Time // time of adopting the configuration
-	started     time.Time
-	reportCount uint64
+	name          string
+	processNumber int
+	router        *Router
+	adoptedHosts  int       // number of entry hosts in the configuration that this host has adopted
+	adoptsAt      time.Time // time of adopting the configuration
+	started       time.Time
+	reportCount   uint64
 }
 
 // modelRequest is a request that runs at a backend server.
@@ -90,16 +90,16 @@
 
 // start starts a host's process. First is true for hosts of the initial configuration.
 func (m *model) start(name string, first bool) {
-	h := &modelHost{name: name, knownHosts: len(m.configuredHosts), started: m.now}
+	h := &modelHost{name: name, adoptedHosts: len(m.configuredHosts), started: m.now}
 	s := Settings{Policy: configurator.RoutingAdaptive, MaxRequestTimeout: modelTimeout}
 	if old := m.hosts[name]; old != nil {
-		h.process = old.process + 1
+		h.processNumber = old.processNumber + 1
 	}
 	if !first {
 		s.HoldUntil = m.now.Add(modelTimeout + AbandonMargin)
 	}
 	h.router = New(s, m.random)
-	h.router.Update(m.endpoints, Membership{Hosts: h.knownHosts, Settled: first || m.settled()}, m.now)
+	h.router.Update(m.endpoints, Membership{Hosts: h.adoptedHosts, Settled: first || m.settled()}, m.now)
 	m.hosts[name] = h
 }
 
@@ -130,7 +130,7 @@
 	for {
 		next := until
 		for _, h := range m.hosts {
-			if h.knownHosts != len(m.configuredHosts) && h.adoptsAt.Before(next) {
+			if h.adoptedHosts != len(m.configuredHosts) && h.adoptsAt.Before(next) {
 				next = h.adoptsAt
 			}
 		}
@@ -147,15 +147,15 @@
 func (m *model) adoptConfiguration() {
 	for _, name := range sortedKeys(m.hosts) {
 		h := m.hosts[name]
-		if h.knownHosts == len(m.configuredHosts) || h.adoptsAt.After(m.now) {
+		if h.adoptedHosts == len(m.configuredHosts) || h.adoptsAt.After(m.now) {
 			continue
 		}
-		h.knownHosts = len(m.configuredHosts)
+		h.adoptedHosts = len(m.configuredHosts)
 		if !slices.Contains(m.configuredHosts, name) {
 			m.kill(h)
 			continue
 		}
-		h.router.Update(m.endpoints, Membership{Hosts: h.knownHosts}, m.now)
+		h.router.Update(m.endpoints, Membership{Hosts: h.adoptedHosts}, m.now)
 		if name == m.owner {
 			m.allocator.Update(m.endpoints, m.configuredHosts, m.settled(), m.now)
 		}
@@ -182,12 +182,12 @@
 		return
 	}
 	for range rapid.IntRange(6, 12).Draw(m.t, "requests") {
-		m.requests++
+		m.requestCount++
 		deadline := m.now.Add(modelTimeout)
 		if rapid.IntRange(0, 3).Draw(m.t, "short") == 0 {
 			deadline = m.now.Add(modelTimeout / 8)
 		}
-		c, found := h.router.Pick(Request{ID: fmt.Sprint(m.requests), Service: "quotes", Deadline: deadline}, m.now).(ChosenInstance)
+		c, found := h.router.Pick(Request{ID: fmt.Sprint(m.requestCount), Service: "quotes", Deadline: deadline}, m.now).(ChosenInstance)
 		if !found {
 			h.router.SetWaiting("quotes", 6, m.now)
 			return
@@ -221,7 +221,7 @@
 	m.advance(time.Microsecond) // answers to two demands of the same time are ignored
 	h.reportCount++
 	p := DemandReport{
-		Host: h.name, Incarnation: fmt.Sprint(h.process), Sequence: h.reportCount,
+		Host: h.name, Incarnation: fmt.Sprint(h.processNumber), Sequence: h.reportCount,
 		RunningFor: m.now.Sub(h.started), Demand: h.router.Demand(m.owner, m.now),
 	}
 	if rapid.IntRange(0, 5).Draw(m.t, "lost") == 0 {
@@ -331,21 +331,21 @@
 				m.advance(time.Duration(rapid.IntRange(1, 14).Draw(t, "s")) * time.Second)
 			},
 			"restart": func(*rapid.T) {
-				if h := m.drawHost(); h != nil && slices.Contains(m.configuredHosts, h.name) && h.knownHosts == len(m.configuredHosts) {
+				if h := m.drawHost(); h != nil && slices.Contains(m.configuredHosts, h.name) && h.adoptedHosts == len(m.configuredHosts) {
 					m.kill(h)
 					m.hosts[h.name] = h // start derives the next process number from it
 					m.start(h.name, false)
 				}
 			},
 			"take over": func(*rapid.T) {
-				if h := m.drawHost(); h != nil && h.knownHosts == len(m.configuredHosts) {
+				if h := m.drawHost(); h != nil && h.adoptedHosts == len(m.configuredHosts) {
 					m.takeOver(h.name)
 				}
 			},
 			"reconfigure": func(*rapid.T) { m.reconfigure() },
 			"":            func(*rapid.T) { m.checkLimits() },
 		})
-		requests += m.requests
+		requests += m.requestCount
 		granted += m.grantedSlots
 	})
 	t.Logf("%d requests, %d granted slots", requests, granted)
--- a/internal/router/policy_test.go
+++ b/internal/router/policy_test.go
@@ -73,7 +73,7 @@
 }
 
 // run offers requests at the given rate (per second) to random hosts. At a host without a
-// free instance a request waits until another one of the host ends.
+// free instance a request waits until another request of the same host ends.
 func (s *routingSimulation) run(rate float64, lasting time.Duration) {
 	until := s.now.Add(lasting)
 	for next := s.now; next.Before(until); next = next.Add(time.Duration(s.random.ExpFloat64() / rate * float64(time.Second))) {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -17,9 +17,12 @@
 // Router is one entry host's view of the instances of its failure domain and of its share
 // of their slots.
 type Router struct {
-	settings      Settings
-	random        *rand.Rand
-	hostCounts    hostCountHistory
+	settings   Settings
+	random     *rand.Rand
+	hostCounts hostCountHistory
+	// holdUntil is the time until which this host uses no slots: the later of
+	// settings.HoldUntil and the end of ShareDelay after a first membership that is not
+	// settled.
 	holdUntil     time.Time
 	hasMembership bool
 	instances     map[string]*instance
@@ -34,7 +37,7 @@
 	waitingRequests int
 	typicalLatency  time.Duration // lower quartile of the latency estimates
 	assessedAt      time.Time     // when typicalLatency and the ejections were computed
-	probeCredit     float64       // probes allowed by maxProbeFraction, at most 1
+	probeCredit     float64       // part of the next probe that has been earned, at most 1: each request earns maxProbeFraction
 }
 
 // New returns a router without instances. The random source must be seeded by the
@@ -137,9 +140,11 @@
 	return ss
 }
 
-// ApplyGrant applies a grant that the given peer sent in answer to the demand of time sentAt. It
-// ignores grants in answer to earlier demands and grants of earlier epochs, because their
-// granter no longer counts the granted slots as used.
+// ApplyGrant applies a grant that the given peer, the owner of the instance's shard, sent in
+// answer to the demand of time sentAt. It ignores a grant in answer to an earlier demand,
+// because the peer's Allocator now counts only the slots that the latest demand reported. It
+// also ignores a grant of an earlier epoch, because the present owner does not count its
+// slots.
 func (r *Router) ApplyGrant(from string, g messenger.SlotGrant, sentAt, now time.Time) {
 	in := r.instances[g.Instance]
 	if in == nil || g.Epoch < in.granterEpoch || sentAt.Before(in.lastDemandAt[from]) {
@@ -203,7 +208,8 @@
 	}
 }
 
-// maxCandidates bounds the candidates that are reported if no instance has a free slot.
+// maxCandidates bounds the number of candidates that are reported if no instance has a free
+// slot.
 const maxCandidates = 8
 
 // noInstance returns the reason why no instance can take the request.
@@ -290,8 +296,8 @@
 	return demands
 }
 
-// wantedSlots returns the number of slots that this host could use at the instance: the
-// highest number within demandRetention.
+// wantedSlots returns the number of slots that this host could use at the instance. A higher
+// number that was computed within demandRetention is returned instead.
 func (r *Router) wantedSlots(in *instance, used int, now time.Time) int {
 	ss := r.services[in.endpoint.Service]
 	if ss == nil || !in.listed || in.endpoint.Draining || now.Before(r.holdUntil) {
--- a/internal/router/share.go
+++ b/internal/router/share.go
@@ -42,7 +42,7 @@
 }
 
 // hostCountHistory holds the numbers of entry hosts that were configured within the
-// window, because another host may still act on any of them.
+// window (ShareDelay), because another host may still act on any of them.
 type hostCountHistory struct {
 	window  time.Duration
 	changes []hostCount // oldest first
--- a/internal/router/share_test.go
+++ b/internal/router/share_test.go
@@ -75,8 +75,8 @@
 	return messenger.SlotGrant{Instance: "quotes-0", Slots: slots, For: GrantDuration, Epoch: epoch}
 }
 
-// Guards against the use of a grant that its granter no longer counts: one that has
-// expired, answers an earlier demand, or comes from an earlier owner of the shard.
+// Guards against the use of a grant whose slots the owner of the shard no longer counts: a
+// grant that has expired, answers an earlier demand, or comes from an earlier owner.
 func TestRefusesOutdatedGrants(t *testing.T) {
 	is := is.New(t)
 	second := epoch.Add(time.Second)
@@ -96,8 +96,8 @@
 	is.Equal(len(r.Demand("b", second)), 1)
 }
 
-// Guards against granting the slots of an unresponsive host, or of a process that died, to
-// another one while its requests may still run.
+// Guards against granting the slots of an unresponsive host, or of a crashed process, to
+// another host while requests of the first one may still run.
 func TestUnresponsiveHostKeepsSlots(t *testing.T) {
 	is := is.New(t)
 	a := newGrantingAllocator()
--- a/internal/router/types.go
+++ b/internal/router/types.go
@@ -25,8 +25,8 @@
 	Policy            configurator.RoutingPolicy
 	MaxRequestTimeout time.Duration
 	// HoldUntil keeps the base share at zero until this time. A host whose earlier process
-	// died with requests in flight sets it to the start time plus MaxRequestTimeout, so
-	// that these requests and those of the new process together do not exceed the share.
+	// crashed with requests in flight sets it to the start time plus MaxRequestTimeout, so
+	// that the requests of the two processes together do not exceed the share.
 	HoldUntil time.Time
 }
 
@@ -34,8 +34,8 @@
 type Membership struct {
 	Hosts int
 	// Settled states that Hosts has been the configured number at every entry host for at
-	// least ShareDelay, or that no other number was ever configured. If it is false at the
-	// first Update, the router uses its base share only after ShareDelay.
+	// least ShareDelay, or that no other number was ever configured. If Settled is false at
+	// the first Update, the router uses its base share only after ShareDelay.
 	Settled bool
 }
 
@@ -52,10 +52,10 @@
 type Candidate struct {
 	Instance string
 	Cost     float64
-	Note     string // why it was not eligible; empty if it was
+	Note     string // why the instance was not eligible; empty if it was eligible
 }
 
-// Choice is the result of Pick: Instance or None.
+// Choice is the result of Pick: ChosenInstance or NoInstance.
 type Choice interface{ choice() }
 
 // ChosenInstance is a chosen instance. The slot is held until Done.
