--- a/internal/limiter/limiter.go
+++ b/internal/limiter/limiter.go
@@ -11,8 +11,8 @@
 	// maxQueueCapacity bounds the waiting requests of a service, and with them the
 	// memory of its queue.
 	maxQueueCapacity = 1024
-	// minQueueCapacity is the number of requests that may always wait. The service rate
-	// is unknown at first.
+	// minQueueCapacity is the number of requests that may always wait, also while the
+	// service rate is unknown.
 	minQueueCapacity = 64
 	// maxBacklogTime bounds the time that the waiting requests take to start at the
 	// observed service rate. With 1 s, the backlog of a burst took 3.5 s to drain at
@@ -168,7 +168,7 @@
 		return nil
 	}
 	name, weight := l.queueOf(q.Tenant)
-	it := &queueItem{request: q, offered: now, queueName: name, class: normal}
+	it := &queueItem{request: q, offeredAt: now, queueName: name, class: normal}
 	if q.Urgent && l.settings.Limits != configurator.LimitFixed {
 		it.class = urgent
 	}
@@ -204,7 +204,7 @@
 }
 
 // Next drops the queued requests of a service that can no longer finish before their
-// deadline, and starts up to free of the others.
+// deadline, and starts at most as many of the others as there are free slots.
 func (l *Limiter) Next(name string, free int, now time.Time) []Action {
 	s := l.services[name]
 	if s == nil {
@@ -223,7 +223,7 @@
 			break
 		}
 		s.start(it, now)
-		actions = append(actions, Start{it.request, now.Sub(it.offered)})
+		actions = append(actions, Start{it.request, now.Sub(it.offeredAt)})
 		free--
 	}
 	return actions
@@ -259,8 +259,8 @@
 	return true
 }
 
-// Release ends a started request. Took is the duration of its last attempt; it counts as
-// a service time only if ran is true.
+// Release ends a started request. Took is the duration of the request's last attempt. It
+// counts as a service time only if ran is true.
 func (l *Limiter) Release(q Request, took time.Duration, ran bool, now time.Time) {
 	s := l.services[q.Service]
 	if s == nil {
--- a/internal/limiter/limiter_test.go
+++ b/internal/limiter/limiter_test.go
@@ -38,7 +38,7 @@
 	timeout         time.Duration
 	now             time.Time
 	endEvents       endHeap
-	count           int
+	requestCount    int
 	answeredInTime  int // answered before the deadline
 	dropped         int
 	waits           []time.Duration
@@ -49,7 +49,7 @@
 	endsAt  time.Time
 	took    time.Duration
 	request Request
-	inTime  bool // in time
+	inTime  bool // ends before the request's deadline
 }
 
 type endHeap []endEvent
@@ -72,9 +72,9 @@
 }
 
 // run offers requests for the given duration, at a rate of load times the capacity.
-func (s *simulation) run(load float64, lasting time.Duration) {
+func (s *simulation) run(load float64, duration time.Duration) {
 	gap := float64(s.meanServiceTime) / float64(s.slots) / load
-	until := s.now.Add(lasting)
+	until := s.now.Add(duration)
 	next := s.now
 	for next.Before(until) {
 		for len(s.endEvents) > 0 && s.endEvents[0].endsAt.Before(next) {
@@ -87,8 +87,8 @@
 			s.apply(s.limiter.Next("quotes", s.slots-len(s.endEvents), s.now))
 		}
 		s.now = next
-		s.count++
-		s.apply(s.limiter.Offer(request(s.count, "", s.now.Add(s.timeout)), s.now))
+		s.requestCount++
+		s.apply(s.limiter.Offer(request(s.requestCount, "", s.now.Add(s.timeout)), s.now))
 		s.apply(s.limiter.Next("quotes", s.slots-len(s.endEvents), s.now))
 		next = next.Add(time.Duration(s.random.ExpFloat64() * gap))
 	}
@@ -157,7 +157,7 @@
 	s.timeout = 10 * time.Second // the deadline alone would allow a long backlog
 	s.run(0.7, 2*time.Second)
 	s.run(4, 5*time.Second)
-	s.run(0.7, 1500*time.Millisecond) // maxBacklog drains at 0.3 of the capacity
+	s.run(0.7, 1500*time.Millisecond) // a backlog of maxBacklogTime drains at 0.3 of the capacity
 	dropped, started := s.dropped, len(s.waits)
 	s.run(0.7, 4*time.Second)
 	is.Equal(s.dropped, dropped)
--- a/internal/limiter/main_test.go
+++ b/internal/limiter/main_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// TestMain fixes the seed of rapid, so that every run of CI tests the same inputs. Another
-// seed can be given with -rapid.seed.
+// TestMain fixes the seed of the property-based tests (pgregory.net/rapid), so that every run
+// of CI tests the same inputs, and no file with the failing input is written. Another seed
+// can be given with -rapid.seed; failing inputs are then written to a file.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
--- a/internal/limiter/queue.go
+++ b/internal/limiter/queue.go
@@ -9,15 +9,16 @@
 // queueItem is a waiting request.
 type queueItem struct {
 	request   Request
-	offered   time.Time
+	offeredAt time.Time
 	queueName string
 	class     int
-	startTag  float64 // virtual start time
+	startTag  float64 // virtual start time, see classQueue
 	heapIndex int     // position in service.byDeadline
 }
 
 // classQueue holds the waiting requests of one urgency and shares the slots between tenants
-// by start-time fair queueing: each request costs 1/weight of virtual time.
+// by start-time fair queueing: each request takes 1/weight of its tenant's virtual time, and
+// the request with the lowest virtual start time is started first.
 type classQueue struct {
 	tenants     map[string]*tenantQueue
 	virtualTime float64 // highest start tag of a started request
@@ -69,10 +70,10 @@
 	t := c.tenants[it.queueName]
 	t.items = slices.Delete(t.items, 0, 1)
 	s.unindex(it)
-	s.running[it.request.ID] = now.After(it.offered)
+	s.running[it.request.ID] = now.After(it.offeredAt)
 	s.retryBudget.earn()
 	// A tenant without waiting requests keeps its finish tag until the virtual time has
-	// reached it. Otherwise it could exceed its share by queueing again at once.
+	// reached the tag. Otherwise the tenant could exceed its share by queueing again at once.
 	for name, t := range c.tenants {
 		if len(t.items) == 0 && t.finishTag <= c.virtualTime {
 			delete(c.tenants, name)
@@ -112,7 +113,7 @@
 	return it
 }
 
-// expire drops the requests with less than the needed time until their deadline.
+// expire drops the requests whose deadline is less than needed away.
 func (s *service) expire(needed time.Duration, now time.Time) []Action {
 	var actions []Action
 	for len(s.byDeadline) > 0 {
@@ -127,8 +128,8 @@
 }
 
 // expectedWait estimates how long a new request would wait for the requests that are
-// started before it, at the rate at which running requests end. It reports false if that
-// rate is unknown or nothing waits.
+// started before it, at the rate at which running requests end. It reports false if the
+// rate is unknown or no request waits.
 func (s *service) expectedWait(it *queueItem, weight float64, now time.Time) (time.Duration, bool) {
 	mean := s.serviceTimes.mean(now)
 	if len(s.running) == 0 || mean <= 0 || len(s.waiting) == 0 {
@@ -203,8 +204,8 @@
 	return nil
 }
 
-// nextToStart returns the request with the lowest start tag, urgent requests first, or
-// nil.
+// nextToStart returns the waiting request to start next, or nil if none waits: urgent
+// requests first, and among requests of one urgency the one with the lowest start tag.
 func (s *service) nextToStart() *queueItem {
 	for i := range s.classes {
 		c := &s.classes[i]
--- a/internal/limiter/times.go
+++ b/internal/limiter/times.go
@@ -19,7 +19,7 @@
 	// queued and started but missed their deadline, because each of them occupies its slot
 	// until the deadline plus the router's AbandonMargin. With the p95 and no factor,
 	// goodput at twice the capacity fell to 84% in simulation.
-	//
+
 	// safetyIncrease multiplies the safety factor after each missed deadline.
 	safetyIncrease = 1.5
 	// safetyDecrease multiplies the safety factor after each queued request that met its
