--- a/internal/dispatcher/dispatcher.go
+++ b/internal/dispatcher/dispatcher.go
@@ -15,8 +15,9 @@
 	"peridotpitch/internal/router"
 )
 
-// startInterval is the interval at which waiting requests are started in slots that
-// became free without a call: by the expiry of a grant or of an abandoned request's slot.
+// startInterval is the interval at which waiting requests are started in slots that became
+// free by the passage of time alone: when an abandoned request's slot or a suspension
+// (HoldUntil) ends, or when this host's base share grows after router.ShareDelay.
 const startInterval = 25 * time.Millisecond
 
 // Sender makes one attempt at a backend server. *forwarder.Forwarder implements it.
@@ -41,7 +42,7 @@
 	Limiter  *limiter.Limiter // owned by the dispatcher from New on
 	Sender   Sender
 	Overflow Overflow // nil: nothing is forwarded
-	Recorder Recorder // nil: decisions are only logged
+	Recorder Recorder // nil: decisions are not recorded
 }
 
 // Dispatcher implements receiver.Handler. It is safe for concurrent use.
@@ -51,15 +52,15 @@
 	waiting          map[string]*waiter // by request ID
 	waitingByService map[string]int     // number of waiting requests
 	// receivedForwards holds the IDs of requests that were forwarded to this host, with the
-	// time until which they are kept, so that a message that is delivered twice does not
-	// run twice.
+	// time until which each ID is kept. A request whose forward message is delivered twice
+	// therefore runs only once.
 	receivedForwards map[string]time.Time
 }
 
 var _ receiver.Handler = (*Dispatcher)(nil)
 
 // waiter is a request that waits for its admission result: an admitted, a limiter.Drop or
-// a router.None.
+// a router.NoInstance.
 type waiter struct {
 	result  chan any // buffered; receives exactly one value
 	service string
@@ -129,7 +130,7 @@
 		case limiter.Drop:
 			d.resolve(a.Request.ID, a)
 		case limiter.Start:
-			if d.waiting[a.Request.ID] == nil { // canceled; nobody would return the slot
+			if d.waiting[a.Request.ID] == nil { // canceled: no goroutine would return the slot
 				d.settings.Limiter.Release(a.Request, 0, false, now)
 				continue
 			}
@@ -157,7 +158,7 @@
 	w.result <- result
 }
 
-// removeWaiter removes a request from the waiting ones. The mutex must be held.
+// removeWaiter removes a request from the table of waiting requests. The mutex must be held.
 func (d *Dispatcher) removeWaiter(id string, w *waiter) {
 	delete(d.waiting, id)
 	if d.waitingByService[w.service]--; d.waitingByService[w.service] <= 0 {
--- a/internal/dispatcher/dispatcher_test.go
+++ b/internal/dispatcher/dispatcher_test.go
@@ -28,7 +28,7 @@
 	ran        map[string]int // executions by request
 	written    map[string]int // attempts written at least in part, by request
 	running    map[string]int // by instance
-	maxRunning int            // highest number of attempts running at one instance
+	maxRunning int            // highest number of attempts that ran at one instance at the same time
 }
 
 func backends(script func(ctx context.Context, q forwarder.Request) (forwarder.Result, bool)) *fakeBackends {
@@ -156,10 +156,11 @@
 	}
 }
 
-// Guards guarantees 4 to 6 from the dispatcher on, with random faults at every attempt: a
-// caller gets the response to its own request, "not run" means zero executions, and a
-// request that is not repeatable runs at most once. Also guards the slot limit of each
-// instance and that every request has its final outcome by its deadline.
+// Guards against violations of guarantees 4 to 6 by the dispatcher, with random faults at
+// every attempt: a caller gets the response to its own request, "not run" means zero
+// executions, and a request that is not repeatable runs at most once. Also guards against
+// more requests at an instance than it has slots, and against a request without a final
+// outcome at its deadline.
 func TestOutcomesUnderFaults(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/dispatcher/path_test.go
+++ b/internal/dispatcher/path_test.go
@@ -122,8 +122,9 @@
 	is.Equal(ran.Load(), int64(60))
 }
 
-// Guards guarantees 4 to 6 over real connections, with backend servers that close the
-// connection, answer late, answer another request, truncate the response or reject.
+// Guards against violations of guarantees 4 to 6 (see TestOutcomesUnderFaults) over real
+// connections, with backend servers that close the connection, answer late, answer another
+// request, truncate the response or reject the request.
 func TestRequestPathWithFaults(t *testing.T) {
 	var mutex sync.Mutex
 	ran := make(map[string]int)
--- a/internal/dispatcher/record.go
+++ b/internal/dispatcher/record.go
@@ -35,7 +35,7 @@
 	Record(d Decision)
 }
 
-// record passes a decision to the recorder, which also logs it.
+// record passes a decision to the recorder, if there is one.
 func (d *Dispatcher) record(r *requestState, kind DecisionKind, cause, rule, result string, candidates []router.Candidate) {
 	if d.settings.Recorder == nil {
 		return
--- a/internal/dispatcher/request.go
+++ b/internal/dispatcher/request.go
@@ -102,7 +102,7 @@
 	}
 	d.record(r, DecisionForward, "no free slot in the failure domain", "entry host "+host, result, nil)
 	if _, notRun := outcome.(receiver.NotRun); notRun && ctx.Err() == nil {
-		return nil // it did not run there, so it can still run here
+		return nil // the request did not run at the other host and can still run here
 	}
 	return outcome
 }
@@ -132,12 +132,13 @@
 	}
 }
 
-// errDuplicate refuses a request while another one with the same ID waits. The other one
-// may run, so the outcome is unknown.
+// errDuplicate refuses a request while another one with the same ID waits. The waiting
+// request may still run, so the outcome for this ID is unknown.
 var errDuplicate = errors.New("a request with the same identity is waiting")
 
-// admit queues the request and returns its admission result, errDuplicate, or nil if the
-// request was canceled or its deadline passed.
+// admit queues the request and waits for its admission result. It returns errDuplicate if
+// another request with the same ID waits, and nil if the request was canceled or its deadline
+// passed.
 func (d *Dispatcher) admit(ctx context.Context, r *requestState) any {
 	w := &waiter{result: make(chan any, 1), service: r.request.Service}
 	now := time.Now()
@@ -185,8 +186,8 @@
 	d.apply(d.settings.Limiter.Expire(service, now), now)
 }
 
-// cancelWait ends the wait of a canceled request. If the request was started at the same
-// time, its slot is returned unused.
+// cancelWait ends the wait of a canceled request. If the request was started before the
+// mutex was taken, its slot is returned unused.
 func (d *Dispatcher) cancelWait(r *requestState, w *waiter) any {
 	now := time.Now()
 	d.mutex.Lock()
@@ -282,7 +283,7 @@
 	case forwarder.Answered:
 		return errAnswered
 	case forwarder.NotRun:
-		// A rejected request has been written, so it is sent again only if it is repeatable.
+		// A rejected request has been written. It is sent again only if it is repeatable.
 		if r.Rejected && !q.Repeatable {
 			return errNotRepeatable
 		}
@@ -297,8 +298,8 @@
 	return nil
 }
 
-// pickForRetry picks an instance that was not tried yet, if the retry budget allows it.
-// The mutex must be held.
+// pickForRetry picks an instance that was not tried yet, if the retry budget allows another
+// attempt. The mutex must be held.
 func (d *Dispatcher) pickForRetry(r *requestState, attempt int, now time.Time) (*router.ChosenInstance, error) {
 	choice := d.settings.Router.Pick(router.Request{
 		ID: r.request.ID, Service: r.request.Service, Deadline: r.request.Deadline, Exclude: r.triedInstances,
