--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -36,7 +36,7 @@
 	hosts    []*runningHost
 	settings []loader.Settings
 	key      ed25519.PrivateKey
-	ledger   *emulator.RunLog
+	runLog   *emulator.RunLog
 	executed *emulator.Executions
 
 	serviceTime time.Duration // mean service time of the instances; 0 is the emulator's default
@@ -61,7 +61,7 @@
 	is := is.New(t)
 	_, key, err := ed25519.GenerateKey(nil)
 	is.NoErr(err)
-	r := &cluster{t: t, key: key, ledger: emulator.NewRunLog(), executed: emulator.NewExecutions(), serviceTime: serviceTime}
+	r := &cluster{t: t, key: key, runLog: emulator.NewRunLog(), executed: emulator.NewExecutions(), serviceTime: serviceTime}
 	platform, storeAddress, closePlatform, err := emulator.NewPlatform(emulator.PlatformOptions{})
 	is.NoErr(err)
 	t.Cleanup(closePlatform)
@@ -101,7 +101,7 @@
 	name := fmt.Sprintf("%s-worker-%d", domain, i)
 	capacity := configurator.Resources{Cores: 16, Memory: 60e9}
 	w, address, closeWorker, err := emulator.NewWorker(emulator.WorkerOptions{
-		MachineOptions: emulator.MachineOptions{Name: name, Capacity: capacity, RunLog: r.ledger, Seed: uint64(i)},
+		MachineOptions: emulator.MachineOptions{Name: name, Capacity: capacity, RunLog: r.runLog, Seed: uint64(i)},
 		Executions:     r.executed,
 		Backend:        emulator.BackendOptions{ServiceTime: r.serviceTime},
 	})
--- a/internal/server/endpoints_test.go
+++ b/internal/server/endpoints_test.go
@@ -25,8 +25,8 @@
 	is.Equal(len(table.all()), 0)
 }
 
-// Guards against forwarding requests by outdated figures of a peer that no longer sends
-// heartbeats.
+// Guards against forwarding requests to a peer that no longer sends heartbeats, because its
+// last report listed free slots.
 func TestFreeSlotsExpire(t *testing.T) {
 	is := is.New(t)
 	table, now := newEndpointTable(), time.Unix(0, 0)
--- a/internal/server/endtoend_test.go
+++ b/internal/server/endtoend_test.go
@@ -74,7 +74,7 @@
 		j := r.waitForJob(r.hosts[0], fmt.Sprint("job-", i), scheduler.JobFinished)
 		is.True(strings.Contains(j.Decision, "placed on "+j.Worker)) // kept in the journal after the job's end
 	}
-	is.Equal(emulator.Violations(r.ledger.Runs(), time.Now()), nil)
+	is.Equal(emulator.Violations(r.runLog.Runs(), time.Now()), nil)
 	records, err := r.hosts[1].operator.Explain(context.Background(), "job-3")
 	is.NoErr(err)
 	is.True(len(records) > 0)
--- a/internal/server/granter.go
+++ b/internal/server/granter.go
@@ -9,7 +9,7 @@
 	"peridotpitch/internal/shardowner"
 )
 
-// shardAllocator grants the pool slots of one shard during one epoch of this host.
+// shardAllocator grants the pool slots of one shard during one ownership epoch of this host.
 type shardAllocator struct {
 	allocator    *router.Allocator
 	epoch        uint64
@@ -28,7 +28,7 @@
 }
 
 // update replaces the set of shards that this host owns, their instances and the entry
-// hosts of the failure domain. settled has the meaning of router.Membership.Settled.
+// hosts of the failure domain. Settled has the meaning of router.Membership.Settled.
 func (g *granter) update(shards []shardowner.ShardStatus, es []messenger.Endpoint, hosts []string, settled bool, maxRequestTimeout time.Duration, now time.Time) {
 	byShard := make(map[string][]messenger.Endpoint)
 	for _, e := range es {
--- a/internal/server/heartbeat.go
+++ b/internal/server/heartbeat.go
@@ -52,10 +52,10 @@
 	}
 }
 
-// crashedProcessMargin is added to the maximum request timeout to get the time for which
-// requests of a crashed process may still run. It covers requests that the process sent
-// after its last heartbeat, and the time that a request and its deadline take to reach
-// the backend server.
+// crashedProcessMargin is added to the maximum request timeout. The sum is the time after
+// its last heartbeat for which requests of a crashed process may still run. The margin covers
+// requests that the process sent after the heartbeat, and the time that a request and its
+// deadline take to reach the backend server.
 const crashedProcessMargin = 2 * time.Second
 
 // suspendSlots prevents this host from using slots until the given time. It never ends an
@@ -101,8 +101,8 @@
 }
 
 // Target implements dispatcher.Overflow. It draws two random entry hosts of other failure
-// domains that have free slots, and returns the one with more. The random draw prevents
-// hosts with the same figures from all choosing the same target.
+// domains that have free slots, and returns the one with more free slots. The random draw
+// prevents hosts that received the same reports from all choosing the same target.
 func (h *host) Target(service string) (string, bool) {
 	now := time.Now()
 	var names []string
--- a/internal/server/jobs.go
+++ b/internal/server/jobs.go
@@ -26,8 +26,8 @@
 }
 
 // shardOwner returns the host that most likely owns the shard: this host if it is the
-// owner, else the host that claimed the shard in its last heartbeat, else the owner in
-// the journal.
+// owner, else the host that last claimed the shard in a heartbeat, else the owner in the
+// journal.
 func (h *host) shardOwner(shard string) string {
 	owner := h.owner.Owner(shard)
 	if owner == h.settings.Name {
--- a/internal/server/peers.go
+++ b/internal/server/peers.go
@@ -17,7 +17,7 @@
 
 const (
 	// localHeartbeatInterval applies inside the failure domain. A host counts as down after
-	// three missed heartbeats of this interval, see registrar.SilenceLimit.
+	// three missed heartbeats of this interval, see registrar.HeartbeatTimeout.
 	localHeartbeatInterval = 500 * time.Millisecond
 	// remoteHeartbeatInterval applies to entry hosts of other failure domains.
 	remoteHeartbeatInterval = time.Second
@@ -126,7 +126,8 @@
 	})
 }
 
-// run sends heartbeats to all peers until ctx ends.
+// run sends heartbeats to all peers until ctx ends. It returns when all heartbeat loops have
+// ended.
 func (t *peerTable) run(ctx context.Context, sendHeartbeat func(context.Context, *link)) error {
 	t.mu.Lock()
 	t.ctx, t.sendHeartbeat = ctx, sendHeartbeat
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -45,11 +45,11 @@
 	// refreshInterval is the interval at which the components of this process exchange
 	// endpoints, slot grants and leaving hosts.
 	refreshInterval = 250 * time.Millisecond
-	// balancerDelay is how long a leaving host continues to accept requests, so that the
-	// load balancer's readiness check fails and it stops sending requests.
+	// balancerDelay is how long a leaving host continues to accept requests. Within this
+	// time the load balancer's readiness check fails and the balancer stops sending requests.
 	balancerDelay = 3 * time.Second
-	// releaseTimeout limits the handover of shards. It needs no more than twice the ownership
-	// TTL, because a successor then claims the shards without a handover.
+	// releaseTimeout limits the handover of shards. A longer timeout than twice the ownership
+	// TTL has no use, because a successor then claims the shards without a handover.
 	releaseTimeout = 2 * configurator.DefaultOwnershipTTL
 	// startupSuspension is how long a new process uses no slots. Within two heartbeats and a
 	// connection setup a peer reports whether requests of an earlier process of this host
@@ -290,7 +290,8 @@
 	return l, nil
 }
 
-// notReady returns the reasons why this host accepts no traffic; none if it is ready.
+// notReady returns the reasons why this host is not ready for requests, or none if it is
+// ready.
 func (h *host) notReady() []string {
 	var reasons []string
 	if h.configuration.Load() == nil {
@@ -305,7 +306,7 @@
 	return reasons
 }
 
-// newRequestID returns the identity of the next request, unique across hosts and restarts.
+// newRequestID returns the ID of the next request, unique across hosts and restarts.
 func (h *host) newRequestID() string {
 	return fmt.Sprintf("%s-%s-%d", h.settings.Name, h.incarnation, h.requestCounter.Add(1))
 }
@@ -376,7 +377,7 @@
 	h.grants.update(shards, owned, hosts, settled, a.parsed.Policy.MaxRequestTimeout, now)
 	h.dispatcher.Update(all, router.Membership{Hosts: len(hosts), Settled: settled})
 	ownDemand := h.dispatcher.Demand(h.settings.Name)
-	now = time.Now() // the router ignores grants from before the demand: they answer an earlier report
+	now = time.Now() // not before the demand: the router ignores grants in answer to an earlier demand
 	g := h.grants.handleReport(router.DemandReport{Host: h.settings.Name, Incarnation: h.incarnation, Sequence: h.heartbeatSequence.Add(1), RunningFor: now.Sub(h.started), Demand: ownDemand}, now)
 	h.dispatcher.ApplyGrants(h.settings.Name, g, now)
 }
