--- a/internal/forwarder/exchange.go
+++ b/internal/forwarder/exchange.go
@@ -23,17 +23,18 @@
 	ctx            context.Context
 	instanceClient *instanceClient
 	id             string
-	number         string // number of the attempt, as sent
+	number         string // number of the attempt, as sent in headerAttempt
 	bytesWritten   int    // bytes of the request that the operating system accepted
 }
 
-// transport is the transport of every fasthttp.HostClient. Unlike fasthttp's own, it
-// counts written bytes, stops when a context ends, and rejects a response without
-// Content-Length.
+// transport is the transport of every fasthttp.HostClient. Unlike fasthttp's own transport,
+// it counts written bytes, stops when the context of the attempt ends, and rejects a response
+// without Content-Length.
 type transport struct{}
 
-// errNoContentLength is returned for a response whose end would be marked only by a chunk
-// or by the closing of the connection, so that a truncated body could look complete.
+// errNoContentLength is returned for a response whose end is marked by the last chunk or by
+// the closing of the connection, because a truncated body of such a response can look
+// complete.
 var errNoContentLength = errors.New("the response has no Content-Length")
 
 // errEchoMismatch is returned for a response to another request or attempt. The connection
@@ -214,8 +215,8 @@
 	return n, err
 }
 
-// hopByHopHeaders are not forwarded, because they concern a single connection.
-// Content-Length and Host are among them, because they are set for each request.
+// hopByHopHeaders are not forwarded, because they concern a single connection. The list also
+// has Content-Length and Host, because they are set for each request.
 var hopByHopHeaders = map[string]bool{
 	"connection":          true,
 	"content-length":      true,
@@ -232,7 +233,7 @@
 }
 
 // mustNotForward reports whether a header is hop-by-hop or part of the protocol of entry
-// hosts, and so is not copied between the two sides.
+// hosts. Such a header is not copied between caller and backend server.
 func mustNotForward(name string) bool {
 	name = strings.ToLower(name)
 	return hopByHopHeaders[name] || strings.HasPrefix(name, "peridot-")
--- a/internal/forwarder/forwarder.go
+++ b/internal/forwarder/forwarder.go
@@ -26,7 +26,8 @@
 	// host, which has at most 4 MiB.
 	maxResponseBodyBytes = 3 << 20
 	// maxIdleTime is how long an unused connection stays open. It is shorter than the idle
-	// timeout of usual HTTP servers (60 s or more), so that this side closes first.
+	// timeout of usual HTTP servers (60 s or more), so that the entry host closes the
+	// connection first.
 	maxIdleTime            = 30 * time.Second
 	maxResponseHeaderBytes = 16 << 10
 )
@@ -183,8 +184,8 @@
 			ReadBufferSize:           maxResponseHeaderBytes,
 			NoDefaultUserAgentHeader: true,
 			DisablePathNormalizing:   true,
-			// Only the dispatcher decides on retries. The transport never requests one
-			// either.
+			// Only the dispatcher decides on retries. MaxIdemponentCallAttempts and RetryIfErr
+			// switch off those of fasthttp, and transport never requests one.
 			MaxIdemponentCallAttempts: 1,
 			RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) {
 				return false, false
--- a/internal/forwarder/forwarder_test.go
+++ b/internal/forwarder/forwarder_test.go
@@ -104,8 +104,8 @@
 	return f
 }
 
-// Guards against a lost, truncated or mismatched response that is returned to a caller, and
-// against a second execution of the request after it.
+// Guards against a truncated or mismatched response that is returned to a caller, and against
+// a second execution of the request after a lost, truncated or mismatched response.
 func TestInvalidResponseIsUnknownAndRunsOnce(t *testing.T) {
 	write := func(format func(id, attempt string) string, keep bool) func(net.Conn, *http.Request) bool {
 		return func(c net.Conn, q *http.Request) bool {
