--- a/internal/receiver/receiver.go
+++ b/internal/receiver/receiver.go
@@ -33,7 +33,7 @@
 	// idleTimeout bounds the time between two requests on a connection.
 	idleTimeout = 60 * time.Second
 	// handlerGracePeriod is how long after a request's deadline the handler may still
-	// return an outcome. After it the caller gets the outcome Unknown.
+	// return an outcome. When it has passed, the caller gets the outcome Unknown.
 	handlerGracePeriod = 100 * time.Millisecond
 )
 
@@ -177,7 +177,7 @@
 }
 
 // serveRequest passes a request to the handler and writes its final answer. A request that
-// is refused before that is answered with the outcome not-run.
+// is refused before it reaches the handler is answered with the outcome not-run.
 func (r *Receiver) serveRequest(ctx *fasthttp.RequestCtx, target string) {
 	started := time.Now()
 	id := r.settings.NewRequestID()
@@ -224,8 +224,8 @@
 }
 
 // handle returns the handler's outcome, or Unknown if the handler panics or does not return
-// within handlerGracePeriod after the deadline. In the latter case the handler may keep
-// running; it shares no memory with the answered request.
+// within handlerGracePeriod after the deadline. After that time the handler may keep running,
+// but it shares no memory with the answered request.
 func (r *Receiver) handle(q Request) Outcome {
 	outcomes := make(chan Outcome, 1)
 	ctx, cancel := context.WithDeadline(context.Background(), q.Deadline)
