--- a/internal/messenger/client.go
+++ b/internal/messenger/client.go
@@ -32,7 +32,7 @@
 	// minDialBackoff is the delay after the first failed dial.
 	minDialBackoff = 50 * time.Millisecond
 	// maxDialBackoff equals the heartbeat interval inside a failure domain, so that a
-	// peer that is reachable again is dialed by the next heartbeat or the one after it.
+	// peer that is reachable again is dialed for the next heartbeat or the one after that.
 	maxDialBackoff = 500 * time.Millisecond
 	// maxIdleTime is how long a surplus connection may stay unused before it is closed.
 	maxIdleTime = 30 * time.Second
@@ -388,9 +388,9 @@
 	return nil
 }
 
-// record takes the result of an attempt. The delay doubles with each failure. The next
-// attempt is allowed after a random time between half the delay and the whole delay, so
-// that hosts do not all connect at once to a peer that has restarted.
+// record takes the result of an attempt to connect. The delay doubles with each failure. The
+// next attempt is allowed after a random time between half the delay and the whole delay.
+// The random time prevents all hosts from connecting at once to a peer that has restarted.
 func (b *dialBackoff) record(err error, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/messenger/client_test.go
+++ b/internal/messenger/client_test.go
@@ -148,8 +148,8 @@
 }
 
 // Guards against a NotSentError after bytes have left the host, and against another error
-// when none have left. Whether a forwarded request that is not repeatable may be sent again
-// depends on it.
+// when no bytes have left. The type of the error decides whether a forwarded request that is
+// not repeatable may be sent again.
 func TestErrorsSayWhetherSent(t *testing.T) {
 	var notSent *NotSentError
 	var noAnswer *NoAnswerError
--- a/internal/messenger/message.go
+++ b/internal/messenger/message.go
@@ -27,10 +27,10 @@
 	Incarnation   string        // unique for each process
 	RunningFor    time.Duration // age of the process
 	Generation    uint64        // of the configuration in effect
-	InEffectFor   time.Duration
+	InEffectFor   time.Duration // time since the host adopted that configuration
 	Leaving       bool
 	Drained       bool         // the host has answered all its requests and takes no more
-	NoticeDigest  uint64       // of the notices with Leaving set; hosts with equal digests send no notices
+	NoticeDigest  uint64       // hash of the notices with Leaving set; hosts with equal digests send no notices
 	Notices       []HostNotice // notices about leaving hosts that the sender holds
 }
 
@@ -69,7 +69,7 @@
 }
 
 // Promise states that the answering host will not claim the shard during the TTL of the
-// ownership lease of this kind.
+// ownership lease of this kind. The TTL counts from the time at which the heartbeat was sent.
 type Promise struct {
 	Shard string
 	Epoch uint64
