--- a/internal/publisher/follower.go
+++ b/internal/publisher/follower.go
@@ -30,7 +30,7 @@
 	// watchAnswerMargin is added to maxWatchWait to get the timeout of the call, so that the
 	// answer has time to arrive.
 	watchAnswerMargin = 2 * time.Second
-	watchDelay        = 200 * time.Millisecond // after a list, and after a watch without events
+	watchDelay        = 200 * time.Millisecond // before the next call after a list or after a watch without events
 )
 
 // startPeerTimeout is how long a host that starts while the store is unavailable waits
@@ -79,7 +79,7 @@
 
 	adoptionMu     sync.Mutex // serializes adoptions and the callback
 	adopter        *configurator.Adopter
-	lastStoreValue []byte          // last value of CurrentKey that was adopted or stale
+	lastStoreValue []byte          // last value of CurrentKey that was adopted or refused as stale
 	loggedRefusals map[string]bool // source and hash of the content of each logged refusal
 
 	stateMu     sync.Mutex
@@ -113,16 +113,16 @@
 	return f.record, f.parsed
 }
 
-// RecordGeneration records the generation in a heartbeat from the named peer, and starts a fetch if
-// it is higher than the adopted one. It does not block.
+// RecordGeneration records the generation in a heartbeat from the named peer, and starts a
+// fetch if that generation is higher than the adopted one. It does not block.
 func (f *Follower) RecordGeneration(peer string, generation uint64) {
 	f.stateMu.Lock()
 	higher := generation > f.record.Generation
 	if higher {
 		f.announced[peer] = generation
 	}
-	// Before the first adoption a single peer may offer an outdated generation, so
-	// adoptFromPeers compares the answers of several peers instead.
+	// Before the first adoption no fetch is started here: a single peer may offer an outdated
+	// generation, and adoptFromPeers compares the answers of several peers.
 	starting := f.parsed == nil
 	f.stateMu.Unlock()
 	if !higher || starting {
@@ -204,8 +204,9 @@
 	}
 }
 
-// watchOnce watches for changes after the given revision, or lists if listed is false. It
-// returns the revision to continue from, 0 to list again, and the delay before the next call.
+// watchOnce watches for changes after the given revision, or lists the current value if
+// listed is false. It returns the revision to continue from, or 0 if the next call must list
+// again, and the delay before the next call.
 func (f *Follower) watchOnce(ctx context.Context, after uint64, listed bool) (uint64, time.Duration, error) {
 	if !listed {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -320,7 +321,7 @@
 	f.adoptionMu.Lock()
 	defer f.adoptionMu.Unlock()
 	if f.adopter.Generation() > 0 {
-		return // the watch has adopted one in the meantime
+		return // the watch has adopted a configuration in the meantime
 	}
 	if !timedOut && (incomplete || highestGeneration(records) < highestAnnounced) {
 		return
@@ -401,8 +402,9 @@
 	return announced
 }
 
-// reserveFetch reports whether the generation is higher than the adopted one and the peer
-// may be asked now. If so, it delays the next fetch from this peer by callTimeout.
+// reserveFetch reports whether a fetch from the peer may start now, and whether its generation
+// is higher than the adopted one. If both hold, it delays the next fetch from this peer by
+// callTimeout.
 func (f *Follower) reserveFetch(peer string, generation uint64, now time.Time) bool {
 	f.stateMu.Lock()
 	defer f.stateMu.Unlock()
--- a/internal/publisher/publisher.go
+++ b/internal/publisher/publisher.go
@@ -21,11 +21,12 @@
 const HistoryRecordsWithText = 20
 
 // pruneGenerations is the number of generations beyond MaxHistoryRecords whose records each
-// application tries to delete, so that a later one deletes what an earlier one could not.
+// application tries to delete. It is above 1, so that a later application deletes the records
+// that an earlier one failed to delete.
 const pruneGenerations = 10
 
-// Attempts to determine whether a write whose answer was lost took effect. Together they
-// last about as long as an operator's request.
+// Attempts to determine whether a write whose answer was lost took effect. All attempts
+// together last about as long as an operator's request may take.
 const (
 	maxResolveAttempts = 6
 	resolveDelay       = 500 * time.Millisecond // before each attempt
@@ -227,10 +228,10 @@
 	return err
 }
 
-// resolveOutcome reads the store until it can tell whether w, whose answer was lost, took
-// effect. While the revision is unchanged, w may still reach the store. The same swap is
-// then sent again, which is safe because both expect the same revision and at most one of
-// them takes effect.
+// resolveOutcome reads the store until it can tell whether w took effect although its answer
+// was lost. While the revision is unchanged, w may still reach the store. The same swap is
+// therefore sent again. This is safe, because both swaps expect the same revision and at most
+// one of them takes effect.
 func (p *Publisher) resolveOutcome(ctx context.Context, w swapWrite, cause error) error {
 	for range maxResolveAttempts {
 		if err := sleep(ctx, resolveDelay); err != nil {
@@ -266,7 +267,8 @@
 	return &UnknownOutcomeError{Generation: w.record.Generation, Cause: cause}
 }
 
-// inHistory reports whether the history holds w.
+// inHistory reports whether the history holds the record of w, that is, whether w was in
+// effect.
 func (p *Publisher) inHistory(ctx context.Context, w swapWrite) (bool, error) {
 	r, err := p.readHistory(ctx, w.record.Generation)
 	return r.Writer == w.record.Writer && r.Sequence == w.record.Sequence, err
@@ -287,8 +289,9 @@
 	return !errors.As(err, &unavailable) && !errors.As(err, &limited) && !errors.As(err, &large)
 }
 
-// writeHistory writes a history record unless it exists. If the answer is lost, the write
-// is repeated without a read, because every writer of this key writes the same value.
+// writeHistory writes a history record unless one exists for the generation. If the answer is
+// lost, the write is repeated without a read, because every writer of this key writes the same
+// value.
 func (p *Publisher) writeHistory(ctx context.Context, generation uint64, value []byte) error {
 	if generation == 0 {
 		return nil
@@ -317,8 +320,8 @@
 	}
 }
 
-// History returns the newest records first, at most limit of them. Records after the
-// first HistoryTexts lack text and signature. A record that cannot be decoded is left
+// History returns at most limit records, newest first. Records after the first
+// HistoryRecordsWithText lack text and signature. A record that cannot be decoded is left
 // out.
 func (p *Publisher) History(ctx context.Context, limit int) ([]configurator.Record, error) {
 	b, err := readCurrent(ctx, p.store, p.keys)
--- a/internal/publisher/publisher_test.go
+++ b/internal/publisher/publisher_test.go
@@ -76,7 +76,7 @@
 		var lost *LostRaceError
 		for range 2 {
 			if err := <-results; err != nil {
-				is.True(lost == nil && errors.As(err, &lost)) // exactly one loses
+				is.True(lost == nil && errors.As(err, &lost)) // exactly one submission loses the race
 			}
 		}
 		is.True(lost != nil)
@@ -124,7 +124,7 @@
 				return lostAfterWrite
 			}
 			_, err := NewPublisher(s, keys, "writer", time.Now).Apply(ctx, submission(1, "first"))
-			is.NoErr(err) // it was in effect, its history record shows it
+			is.NoErr(err) // the history record shows that the text was in effect
 		})
 	})
 	t.Run("store becomes unavailable", func(t *testing.T) {
