--- a/internal/configurator/check.go
+++ b/internal/configurator/check.go
@@ -207,7 +207,7 @@
 
 // checkTotalCapacity checks that the instances of all services together do not exceed the
 // capacity of a failure domain. It does not check whether they can be distributed over the
-// workers; this is left to the placer, so that no configuration is refused that fits.
+// workers. Only the placer determines that, so that a configuration that fits is never refused.
 func (k *checker) checkTotalCapacity() {
 	for _, d := range k.c.FailureDomains {
 		var capacity, wanted Resources
--- a/internal/configurator/configuration.go
+++ b/internal/configurator/configuration.go
@@ -101,7 +101,8 @@
 
 // minJobRecoveryDelay is three times the time after which the scheduler treats a worker
 // that does not answer as lost (5 s). The scheduler starts no batch task if its ownership
-// lease for running tasks ends within that time, so with a delay of 5 s it never starts one.
+// lease for running tasks ends within those 5 s. With a recovery delay of 5 s it would
+// therefore never start one.
 const minJobRecoveryDelay = 15 * time.Second
 
 // FailureDomain is a set of hosts that fail or are partitioned together.
--- a/internal/configurator/parse_test.go
+++ b/internal/configurator/parse_test.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// Guards against a parser that stops at the first fault, which would cost an operator one
-// run for each.
+// Guards against a parser that stops at the first fault: an operator would need one run for
+// each fault.
 func TestParseListsAllFaults(t *testing.T) {
 	is := is.New(t)
 	text := strings.NewReplacer("Limits = Fair", "Limits = None", "Share = 1.5", "Share = x", "San Pablo:1", "Malolos:1").Replace(readValid(t))
--- a/internal/configurator/text.go
+++ b/internal/configurator/text.go
@@ -14,7 +14,8 @@
 // JSON, stays below the store's limit of 1 MB for a value.
 const MaxTextBytes = 640 << 10
 
-// maxNameBytes is the maximum length of a name, also of one that a key holds.
+// maxNameBytes is the maximum length of a section's name and of a name that is the value of a
+// key.
 const maxNameBytes = 64
 
 // maxListedFaults is the maximum number of faults that are listed for one text.
@@ -157,9 +158,9 @@
 	}
 }
 
-// verifyWithLibrary parses the text with the INI library too, takes the values from there,
-// and reports a fault where the library reads something else. The library alone is not
-// enough because it gives no line numbers.
+// verifyWithLibrary parses the text with the INI library too and takes the values that the
+// library reads. It reports a fault where they differ from those of reader. The library alone
+// is not enough because it gives no line numbers.
 func (r *reader) verifyWithLibrary(text []byte) {
 	f, err := ini.LoadSources(ini.LoadOptions{
 		IgnoreContinuation:    true,
