--- a/internal/loader/settings.go
+++ b/internal/loader/settings.go
@@ -31,7 +31,8 @@
 	Limits         Limits
 }
 
-// Peer is another entry host that is asked for the configuration at start.
+// Peer is another entry host. This host exchanges heartbeats with its peers and, if the store
+// is unavailable at start, fetches the configuration from them.
 type Peer struct {
 	Name          string
 	FailureDomain string
@@ -40,7 +41,7 @@
 
 // Limits holds the bounds on the process's memory and on the duration of its calls.
 type Limits struct {
-	MaxQueuedRequests  int           // requests waiting for a slot
+	MaxQueuedRequests  int           // requests waiting for a slot; no code enforces it yet
 	MaxDecisionRecords int           // decision records kept in memory
 	StoreTimeout       time.Duration // timeout of a store call other than a watch
 	MessageTimeout     time.Duration // timeout of a message to another entry host other than Forward
