--- a/internal/harness/cluster.go
+++ b/internal/harness/cluster.go
@@ -273,7 +273,7 @@
 }
 
 // Owner waits until a running entry host of the failure domain reports an owner of the
-// domain's shard, and returns the owner. It neither asks nor returns the hosts in excluded.
+// domain's shard, and returns the owner. It neither queries nor returns the hosts in excluded.
 func (c *Cluster) Owner(domain string, excluded ...*Host) *Host {
 	c.t.Helper()
 	var owner *Host
@@ -316,8 +316,9 @@
 	return ""
 }
 
-// WaitForBatchTask waits until a worker runs a batch task and returns that worker. Which
-// one it is depends on the interference coefficients that the placer has estimated so far.
+// WaitForBatchTask waits until a worker runs a batch task and returns that worker. The test
+// can't choose the worker in advance: the placement depends on the interference coefficients
+// that the placer has estimated so far.
 func (c *Cluster) WaitForBatchTask() *Worker {
 	c.t.Helper()
 	var found *Worker
@@ -366,11 +367,11 @@
 	return as
 }
 
-// CutOff partitions a host from the store, and all entry hosts of its failure domain from
-// messages to them, so that they get no messages from each other. A relay cannot
-// distinguish senders, so it also drops messages from other failure domains to this one;
-// messages from the domain's hosts to other domains still arrive. It requires
-// ClusterOptions.Relays.
+// CutOff partitions a host from the store, and drops the messages to all entry hosts of its
+// failure domain, so that these hosts get no messages from each other. A relay cannot
+// distinguish senders. Messages from other failure domains to this one are therefore dropped
+// too. Messages from the domain's hosts to other domains still arrive. CutOff requires
+// ClusterOptions.Relays. The given cut selects the directions; a zero Cut ends the partition.
 func (c *Cluster) CutOff(h *Host, cut relayer.Cut) {
 	c.t.Helper()
 	SetCut(c.t, h.storeRelayControl, cut)
--- a/internal/harness/cluster_test.go
+++ b/internal/harness/cluster_test.go
@@ -59,7 +59,7 @@
 }
 
 // startClusterAndWorkload starts a cluster and a workload, and returns when the workload has
-// run for the time warmup.
+// run for the duration warmup.
 func startClusterAndWorkload(t *testing.T, o harness.ClusterOptions, seconds, jobs int, warmup time.Duration) (*harness.Cluster, *workload) {
 	t.Helper()
 	c := harness.StartCluster(t, o)
@@ -197,7 +197,7 @@
 	h := c.Owner("north")
 	c.CutOff(h, relayer.Cut{Forward: true, Backward: true})
 	c.Owner("north", h)         // another host claims the shard
-	time.Sleep(2 * time.Second) // time for it to send commands
+	time.Sleep(2 * time.Second) // time for the new owner to send commands
 	c.CutOff(h, relayer.Cut{})
 	w.waitForAllJobsFinished()
 }
@@ -215,8 +215,9 @@
 	w.waitForAllJobsFinished()
 }
 
-// Guards against a leaving host that claims the shard that another leaving host released. It
-// then waits for the full DrainTimeout and ends without having handed the shard over.
+// Guards against a leaving host that claims the shard that another leaving host released. The
+// claiming host would then wait for the full DrainTimeout and end without having handed the
+// shard over.
 func TestAllEntryHostsTerminated(t *testing.T) {
 	t.Parallel()
 	c := harness.StartCluster(t, harness.ClusterOptions{})
--- a/internal/harness/control.go
+++ b/internal/harness/control.go
@@ -82,7 +82,7 @@
 }
 
 // Violations returns the violations of guarantees that the emulated workers at these
-// addresses recorded, and how often the request of each caller's token ran.
+// addresses recorded, and how often each request ran, by the token that its caller gave it.
 func Violations(t testing.TB, workers []netip.AddrPort) ([]string, map[string]int) {
 	t.Helper()
 	var out []string
--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -25,9 +25,10 @@
 const (
 	pollInterval = 10 * time.Millisecond
 	// stopTimeout is how long a process may take to end after the SIGTERM at the end of its
-	// test; then it is killed.
+	// test. A process that takes longer is killed.
 	stopTimeout = 10 * time.Second
-	// maxOutputLines is the number of output lines that are collected of a process.
+	// maxOutputLines is the number of output lines that are collected from a process. Further
+	// lines are dropped.
 	maxOutputLines = 200_000
 )
 
@@ -43,6 +44,8 @@
 	programsDir = dir
 	arguments := []string{"build", "-o", dir + string(filepath.Separator)}
 	for _, p := range []string{"peridotpitch/cmd/standin", "peridotpitch/cmd/peridotpitch"} {
+		// A program that the module does not contain is left out, so that only the tests that
+		// start it fail, in Program.
 		if exec.Command("go", "list", p).Run() == nil {
 			arguments = append(arguments, p)
 		}
@@ -166,8 +169,8 @@
 	<-p.exited
 }
 
-// Pause sends SIGSTOP and waits until every thread of the process has stopped: the process
-// can still answer a call between the sending of the signal and its effect.
+// Pause sends SIGSTOP and waits until every thread of the process has stopped, because the
+// process can still answer a call between the sending of the signal and its effect.
 func (p *Process) Pause() {
 	p.signal(syscall.SIGSTOP)
 	WaitFor(p.t, p.Name+" to stop", p.allThreadsStopped)
@@ -268,9 +271,9 @@
 	}
 }
 
-// Ports of tests are below the kernel's ephemeral port range, from which it assigns ports to
-// connections and to listeners on port 0. Another process could get a port of that range
-// between its selection and its use, which made a run of CI fail.
+// Ports of tests are below the kernel's ephemeral port range. The kernel assigns ports of that
+// range to connections and to listeners on port 0, so another process could get such a port
+// between its selection by FreeAddresses and its use.
 const (
 	firstPort      = 10000
 	portBlockCount = 170
--- a/internal/harness/process_test.go
+++ b/internal/harness/process_test.go
@@ -17,8 +17,8 @@
 
 func TestMain(m *testing.M) { harness.Main(m) }
 
-// Guards against emulator processes that do not stop on SIGTERM and so remain after the
-// demo.
+// Guards against emulator processes that do not stop on SIGTERM and therefore keep running
+// after the demo.
 func TestStandinsStopOnSIGTERM(t *testing.T) {
 	is := is.New(t)
 	for _, role := range [][]string{{"platform"}, {"worker", "-count", "2"}, {"backend"}, {"relay", "-target", "127.0.0.1:1"}} {
@@ -50,8 +50,8 @@
 	harness.WaitFor(t, "the partition heals", func() bool { return get() == nil })
 }
 
-// Guards against a worker that, paused and resumed, continues tasks whose leases have ended,
-// and against a killed worker that seems to be running.
+// Guards against a worker that is paused and resumed and then continues tasks whose leases
+// have ended, and against a killed worker that still answers calls.
 func TestPausedWorkerEndsExpiredTasksAndKilledWorkerIsUnreachable(t *testing.T) {
 	is := is.New(t)
 	p := harness.Start(t, "worker", "standin", "worker")
--- a/internal/harness/stop_test.go
+++ b/internal/harness/stop_test.go
@@ -12,7 +12,8 @@
 )
 
 // Guards against a planned stop during a store outage that interrupts a request or waits
-// for the store. The shard cannot be handed over, because that needs a write.
+// for the store. The shard cannot be handed over, because the handover is a write to the
+// store.
 func TestEntryHostTerminatedInStoreOutage(t *testing.T) {
 	is := is.New(t)
 	t.Parallel()
