--- a/internal/loadgenerator/callers.go
+++ b/internal/loadgenerator/callers.go
@@ -21,11 +21,11 @@
 const (
 	MaxCount    = 1_000_000
 	MaxDuration = 10 * time.Minute
-	// DefaultMaxInFlight limits the generator's memory; requests beyond it are not sent and
-	// get the outcome Surplus.
+	// DefaultMaxInFlight limits the number of requests in flight and with it the memory of the
+	// load generator. Requests beyond the limit are not sent and get the outcome Surplus.
 	DefaultMaxInFlight = 2000
-	// answerGracePeriod is how long the generator waits for an answer after a request's
-	// timeout. By then an entry host must have answered with the final outcome.
+	// answerGracePeriod is how long the load generator waits for an answer after a request's
+	// timeout. When it has passed, an entry host must have answered with the final outcome.
 	answerGracePeriod = 2 * time.Second
 	dialTimeout       = time.Second
 	// readinessTimeout is the timeout of one GET /ready.
@@ -44,7 +44,7 @@
 	Classes           Mix     // urgent and normal
 	Repeatable        float64 // share of requests that may be repeated
 	Timeout           time.Duration
-	BodyBytes         int // bytes
+	BodyBytes         int // size of a request's body
 	MaxInFlight       int
 	ReadinessInterval time.Duration // if above 0, the interval of GET /ready; hosts that are not ready get no requests, as with the platform's load balancer
 	Run               string        // prefix of the tokens; must be unique among the runs against the same backend servers
@@ -73,8 +73,9 @@
 	return o, nil
 }
 
-// RunCallers sends requests at the given rate until Count or Duration is reached or ctx is done,
-// and waits for their outcomes. Arrivals are a Poisson process, independent of answers.
+// RunCallers sends requests at the given rate until Count or Duration is reached or ctx ends,
+// and waits for their outcomes. The arrivals are a Poisson process that does not depend on the
+// answers.
 func RunCallers(ctx context.Context, o CallerOptions) (*Result, error) {
 	o, err := o.withDefaults()
 	if err != nil {
@@ -87,8 +88,8 @@
 	defer c.close()
 	ctx, cancel := context.WithTimeout(ctx, o.Duration)
 	defer cancel()
-	stopHealth := c.pollReadiness(ctx)
-	defer stopHealth()
+	stopPolling := c.pollReadiness(ctx)
+	defer stopPolling()
 	c.generateArrivals(ctx, rand.New(rand.NewPCG(o.Seed, 3)))
 	c.pending.Wait()
 	c.result.mu.Lock()
@@ -151,7 +152,7 @@
 	return &fasthttp.HostClient{
 		Addr:                      a.String(),
 		MaxConns:                  DefaultMaxInFlight,
-		MaxIdemponentCallAttempts: 1, // a retry by the client would be counted as a violation by the product
+		MaxIdemponentCallAttempts: 1, // a retry by this client would look like a second execution by the entry hosts
 		Dial: func(addr string) (net.Conn, error) {
 			c, err := net.DialTimeout("tcp", addr, dialTimeout)
 			if err != nil {
@@ -205,7 +206,7 @@
 }
 
 // sendRequest sends a request and records its outcome. The latency is measured from the
-// planned arrival, so that it includes delays in the generator itself.
+// planned arrival, so that it includes delays in the load generator itself.
 func (c *callers) sendRequest(client *fasthttp.HostClient, rec Record, tenant string, arrived time.Time) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
--- a/internal/loadgenerator/jobs.go
+++ b/internal/loadgenerator/jobs.go
@@ -25,17 +25,17 @@
 	Teams    Mix
 	Urgent   float64                // share of urgent jobs
 	Declared configurator.Resources // zero: the class's size
-	Duration time.Duration          // mean work of a job
-	Wait     time.Duration          // how long to wait for the jobs to end after the last submission
-	RetryFor time.Duration          // how long a refused or unanswered submission is retried; default 2 s
+	Duration time.Duration          // mean duration of a job's work
+	Wait     time.Duration          // how long to wait for the jobs' ends after the last submission
+	RetryFor time.Duration          // how long a refused or unanswered submission is retried; 0: defaultRetryFor
 	Run      string                 // prefix of the names
 	Seed     uint64
 }
 
 const (
 	submitTimeout = 5 * time.Second
-	// defaultRetryFor covers only part of an ownership change of a shard. During a store
-	// outage submissions are refused until it ends.
+	// defaultRetryFor is shorter than a change of a shard's owner. During a store outage
+	// submissions are refused until the outage ends.
 	defaultRetryFor = 2 * time.Second
 	pollInterval    = 200 * time.Millisecond
 )
--- a/internal/loadgenerator/loadgenerator_test.go
+++ b/internal/loadgenerator/loadgenerator_test.go
@@ -73,7 +73,7 @@
 	return r, b
 }
 
-// Guards against a generator that loses requests or reports problems in a run without
+// Guards against a load generator that loses requests or reports problems in a run without
 // faults.
 func TestRunWithoutFaultsHasNoProblems(t *testing.T) {
 	is := is.New(t)
@@ -85,7 +85,8 @@
 	is.True(r.Quantile("normal", 0.99) > 0)
 }
 
-// Guards against a generator that accepts a damaged answer or the answer to another request.
+// Guards against a load generator that accepts a damaged answer or the answer to another
+// request.
 func TestWrongAndTruncatedAnswersAreDetected(t *testing.T) {
 	t.Run("another request's answer", func(t *testing.T) {
 		is := is.New(t)
@@ -96,11 +97,15 @@
 	t.Run("truncated answers", func(t *testing.T) {
 		is := is.New(t)
 		r, _ := runLoad(t, emulator.Faults{HalfAnswers: 1})
-		is.Equal(r.Count(Answered), 0) // the stub gets truncated answers and answers with the outcome unknown
+		// HalfAnswers truncates each answer in the middle of its body. The stub answers such a
+		// request with the outcome unknown.
+		is.Equal(r.Count(Answered), 0)
 	})
 }
 
-// Guards against a comparison that misses a violated guarantee.
+// Guards against executions that contradict the outcomes and are not reported: a not-run
+// request that ran (a), an unrepeatable one that ran twice (b), and an answered one that did
+// not run (c). The repeatable request d may run twice.
 func TestViolationsAreDetected(t *testing.T) {
 	is := is.New(t)
 	r := newResult()
--- a/internal/loadgenerator/result.go
+++ b/internal/loadgenerator/result.go
@@ -62,14 +62,14 @@
 
 // JobCounts counts submissions, and the jobs by their latest state.
 type JobCounts struct {
-	Submitted int // accepted
+	Submitted int // submissions that an entry host accepted
 	Refused   int // answered with an error
 	Unknown   int // no answer
 	Finished  int
 	Failed    int
 	Open      int // neither finished nor failed at the end of the run
 	Evictions int
-	Took      time.Duration // from the first submission until all jobs have ended or the wait is over
+	Took      time.Duration // from the first submission until all jobs have ended or JobOptions.Wait has passed
 }
 
 func newResult() *Result {
