--- a/internal/harness/cluster.go
+++ b/internal/harness/cluster.go
@@ -317,7 +317,7 @@
 }
 
 // WaitForBatchTask waits until a worker runs a batch task and returns that worker. The test
-// can't choose the worker in advance: the placement depends on the interference coefficients
+// cannot choose the worker in advance: the placement depends on the interference coefficients
 // that the placer has estimated so far.
 func (c *Cluster) WaitForBatchTask() *Worker {
 	c.t.Helper()
--- a/internal/loader/settings.go
+++ b/internal/loader/settings.go
@@ -41,7 +41,7 @@
 
 // Limits holds the bounds on the process's memory and on the duration of its calls.
 type Limits struct {
-	MaxQueuedRequests  int           // requests waiting for a slot; no code enforces it yet
+	MaxQueuedRequests  int           // requests waiting for a slot; not enforced by any code
 	MaxDecisionRecords int           // decision records kept in memory
 	StoreTimeout       time.Duration // timeout of a store call other than a watch
 	MessageTimeout     time.Duration // timeout of a message to another entry host other than Forward
--- a/internal/publisher/fake_test.go
+++ b/internal/publisher/fake_test.go
@@ -29,7 +29,7 @@
 	dropEvents  bool                        // watches end without events
 	loseAnswer  func(key string) answerLoss // called for each compare-and-swap; empty: the answer arrives
 	delay       func() time.Duration
-	gets        int
+	gets        int // number of calls of Get
 }
 
 // answerLoss says whether and when a compare-and-swap takes effect although its answer is
--- a/internal/publisher/publisher_test.go
+++ b/internal/publisher/publisher_test.go
@@ -162,7 +162,7 @@
 
 type applyInput struct {
 	replaces uint64
-	operator string // empty: read
+	operator string // operator of an application; empty for a read
 }
 
 type applyOutput struct {
--- a/internal/router/model_test.go
+++ b/internal/router/model_test.go
@@ -25,9 +25,9 @@
 	random          *rand.Rand
 	endpoints       []messenger.Endpoint
 	hosts           map[string]*modelHost
-	configuredHosts []string // names
-	changedAt       time.Time
-	owner           string
+	configuredHosts []string  // names
+	changedAt       time.Time // time of the last change of the configuration; zero: none
+	owner           string    // name of the host that owns the shard; empty until a host takes over
 	epoch           uint64
 	allocator       *Allocator
 	allocatorHosts  int // number of hosts in the configuration that the allocator uses
@@ -205,7 +205,7 @@
 		kind := rapid.SampledFrom([]OutcomeKind{OutcomeAnswered, OutcomeNotRun, OutcomeAbandoned}).Draw(m.t, "outcome")
 		q.host.router.Done(q.choice, Outcome{Kind: kind, Latency: time.Millisecond, SlotsUsed: -1}, m.now)
 		if kind == OutcomeAbandoned {
-			q.orphaned = true // it continues to run
+			q.orphaned = true // the request continues to run
 		} else {
 			m.running = slices.Delete(m.running, i, i+1)
 		}
@@ -333,7 +333,7 @@
 			"restart": func(*rapid.T) {
 				if h := m.drawHost(); h != nil && slices.Contains(m.configuredHosts, h.name) && h.adoptedHosts == len(m.configuredHosts) {
 					m.kill(h)
-					m.hosts[h.name] = h // start derives the next process number from it
+					m.hosts[h.name] = h // start derives the next process number from this entry
 					m.start(h.name, false)
 				}
 			},
--- a/internal/router/policy_test.go
+++ b/internal/router/policy_test.go
@@ -21,9 +21,9 @@
 	now       time.Time
 	routers   []*Router
 	endpoints []messenger.Endpoint
-	running   map[string]int
-	sent      map[string]int
-	slowness  func(instance int, now time.Time) float64
+	running   map[string]int                            // requests in flight by instance
+	sent      map[string]int                            // requests sent so far by instance
+	slowness  func(instance int, now time.Time) float64 // factor of the service time
 	ends      requestEndHeap
 	latencies []time.Duration
 	waiting   [][]time.Time // arrivals by host
@@ -74,8 +74,8 @@
 
 // run offers requests at the given rate (per second) to random hosts. At a host without a
 // free instance a request waits until another request of the same host ends.
-func (s *routingSimulation) run(rate float64, lasting time.Duration) {
-	until := s.now.Add(lasting)
+func (s *routingSimulation) run(rate float64, duration time.Duration) {
+	until := s.now.Add(duration)
 	for next := s.now; next.Before(until); next = next.Add(time.Duration(s.random.ExpFloat64() / rate * float64(time.Second))) {
 		s.finish(next)
 		host := s.random.IntN(len(s.routers))
@@ -122,9 +122,9 @@
 	return sorted[len(sorted)*99/100]
 }
 
-// Guards the targets for the adaptive policy: its p99 is at most 0.7 times the p99 of the
-// best baseline with slow instances and with bursts of noise, and at most 1.05 times in
-// all cases.
+// Guards against an adaptive policy that misses its targets: a p99 of at most 0.7 times the
+// p99 of the best baseline with slow instances and with bursts of noise, and of at most 1.05
+// times in all cases.
 func TestAdaptiveAgainstBaselines(t *testing.T) {
 	none := func(int, time.Time) float64 { return 1 }
 	cases := []struct {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -143,7 +143,7 @@
 // ApplyGrant applies a grant that the given peer, the owner of the instance's shard, sent in
 // answer to the demand of time sentAt. It ignores a grant in answer to an earlier demand,
 // because the peer's Allocator now counts only the slots that the latest demand reported. It
-// also ignores a grant of an earlier epoch, because the present owner does not count its
+// also ignores a grant of an earlier epoch, because the current owner does not count its
 // slots.
 func (r *Router) ApplyGrant(from string, g messenger.SlotGrant, sentAt, now time.Time) {
 	in := r.instances[g.Instance]
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -37,7 +37,7 @@
 	settings []loader.Settings
 	key      ed25519.PrivateKey
 	runLog   *emulator.RunLog
-	executed *emulator.Executions
+	executions *emulator.Executions
 
 	serviceTime time.Duration // mean service time of the instances; 0 is the emulator's default
 }
@@ -61,7 +61,7 @@
 	is := is.New(t)
 	_, key, err := ed25519.GenerateKey(nil)
 	is.NoErr(err)
-	r := &cluster{t: t, key: key, runLog: emulator.NewRunLog(), executed: emulator.NewExecutions(), serviceTime: serviceTime}
+	r := &cluster{t: t, key: key, runLog: emulator.NewRunLog(), executions: emulator.NewExecutions(), serviceTime: serviceTime}
 	platform, storeAddress, closePlatform, err := emulator.NewPlatform(emulator.PlatformOptions{})
 	is.NoErr(err)
 	t.Cleanup(closePlatform)
@@ -102,7 +102,7 @@
 	capacity := configurator.Resources{Cores: 16, Memory: 60e9}
 	w, address, closeWorker, err := emulator.NewWorker(emulator.WorkerOptions{
 		MachineOptions: emulator.MachineOptions{Name: name, Capacity: capacity, RunLog: r.runLog, Seed: uint64(i)},
-		Executions:     r.executed,
+		Executions:     r.executions,
 		Backend:        emulator.BackendOptions{ServiceTime: r.serviceTime},
 	})
 	is.New(r.t).NoErr(err)
--- a/internal/server/endtoend_test.go
+++ b/internal/server/endtoend_test.go
@@ -62,7 +62,7 @@
 		is.Equal(a.outcome, "answered")
 		is.NoErr(emulator.CheckBody(a.body, token, nil))
 	}
-	for token, n := range r.executed.TokenCounts() {
+	for token, n := range r.executions.TokenCounts() {
 		if n != 1 {
 			t.Errorf("request %s ran %d times", token, n)
 		}
