--- a/internal/loader/settings.go
+++ b/internal/loader/settings.go
@@ -157,8 +157,8 @@
 	p.checkKeys()
 }
 
-// checkKeys reports a public key that has two names, because the history could then not
-// tell which operator applied a configuration.
+// checkKeys reports a public key that has two names. With such a key the configuration history
+// would not show which operator applied a configuration.
 func (p *parser) checkKeys() {
 	owners := map[string]string{}
 	for _, n := range slices.Sorted(maps.Keys(p.settings.OperatorKeys)) {
--- a/internal/publisher/follower.go
+++ b/internal/publisher/follower.go
@@ -402,9 +402,9 @@
 	return announced
 }
 
-// reserveFetch reports whether a fetch from the peer may start now, and whether its generation
-// is higher than the adopted one. If both hold, it delays the next fetch from this peer by
-// callTimeout.
+// reserveFetch reports whether to fetch from the peer now: the peer's generation is higher than
+// the adopted one, and the time of the next fetch from the peer has come. If so, it moves that
+// time by callTimeout.
 func (f *Follower) reserveFetch(peer string, generation uint64, now time.Time) bool {
 	f.stateMu.Lock()
 	defer f.stateMu.Unlock()
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -30,13 +30,13 @@
 
 // cluster is a set of entry hosts in this process with an emulated platform and workers.
 type cluster struct {
-	t        *testing.T
-	platform *emulator.Platform
-	workers  []*emulator.Worker
-	hosts    []*runningHost
-	settings []loader.Settings
-	key      ed25519.PrivateKey
-	runLog   *emulator.RunLog
+	t          *testing.T
+	platform   *emulator.Platform
+	workers    []*emulator.Worker
+	hosts      []*runningHost
+	settings   []loader.Settings
+	key        ed25519.PrivateKey
+	runLog     *emulator.RunLog
 	executions *emulator.Executions
 
 	serviceTime time.Duration // mean service time of the instances; 0 is the emulator's default
