--- a/internal/loader/settings.go
+++ b/internal/loader/settings.go
@@ -31,7 +31,8 @@
 	Limits         Limits
 }
 
-// Peer is another entry host that is asked for the configuration at start.
+// Peer is another entry host. This host exchanges heartbeats with its peers and, if the store
+// is unavailable at start, fetches the configuration from them.
 type Peer struct {
 	Name          string
 	FailureDomain string
@@ -40,7 +41,7 @@
 
 // Limits holds the bounds on the process's memory and on the duration of its calls.
 type Limits struct {
-	MaxQueuedRequests  int           // requests waiting for a slot
+	MaxQueuedRequests  int           // requests waiting for a slot; not enforced by any code
 	MaxDecisionRecords int           // decision records kept in memory
 	StoreTimeout       time.Duration // timeout of a store call other than a watch
 	MessageTimeout     time.Duration // timeout of a message to another entry host other than Forward
@@ -156,8 +157,8 @@
 	p.checkKeys()
 }
 
-// checkKeys reports a public key that has two names, because the history could then not
-// tell which operator applied a configuration.
+// checkKeys reports a public key that has two names. With such a key the configuration history
+// would not show which operator applied a configuration.
 func (p *parser) checkKeys() {
 	owners := map[string]string{}
 	for _, n := range slices.Sorted(maps.Keys(p.settings.OperatorKeys)) {
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -30,14 +30,14 @@
 
 // cluster is a set of entry hosts in this process with an emulated platform and workers.
 type cluster struct {
-	t        *testing.T
-	platform *emulator.Platform
-	workers  []*emulator.Worker
-	hosts    []*runningHost
-	settings []loader.Settings
-	key      ed25519.PrivateKey
-	ledger   *emulator.RunLog
-	executed *emulator.Executions
+	t          *testing.T
+	platform   *emulator.Platform
+	workers    []*emulator.Worker
+	hosts      []*runningHost
+	settings   []loader.Settings
+	key        ed25519.PrivateKey
+	runLog     *emulator.RunLog
+	executions *emulator.Executions
 
 	serviceTime time.Duration // mean service time of the instances; 0 is the emulator's default
 }
@@ -61,7 +61,7 @@
 	is := is.New(t)
 	_, key, err := ed25519.GenerateKey(nil)
 	is.NoErr(err)
-	r := &cluster{t: t, key: key, ledger: emulator.NewRunLog(), executed: emulator.NewExecutions(), serviceTime: serviceTime}
+	r := &cluster{t: t, key: key, runLog: emulator.NewRunLog(), executions: emulator.NewExecutions(), serviceTime: serviceTime}
 	platform, storeAddress, closePlatform, err := emulator.NewPlatform(emulator.PlatformOptions{})
 	is.NoErr(err)
 	t.Cleanup(closePlatform)
@@ -101,8 +101,8 @@
 	name := fmt.Sprintf("%s-worker-%d", domain, i)
 	capacity := configurator.Resources{Cores: 16, Memory: 60e9}
 	w, address, closeWorker, err := emulator.NewWorker(emulator.WorkerOptions{
-		MachineOptions: emulator.MachineOptions{Name: name, Capacity: capacity, RunLog: r.ledger, Seed: uint64(i)},
-		Executions:     r.executed,
+		MachineOptions: emulator.MachineOptions{Name: name, Capacity: capacity, RunLog: r.runLog, Seed: uint64(i)},
+		Executions:     r.executions,
 		Backend:        emulator.BackendOptions{ServiceTime: r.serviceTime},
 	})
 	is.New(r.t).NoErr(err)
--- a/internal/server/endtoend_test.go
+++ b/internal/server/endtoend_test.go
@@ -62,7 +62,7 @@
 		is.Equal(a.outcome, "answered")
 		is.NoErr(emulator.CheckBody(a.body, token, nil))
 	}
-	for token, n := range r.executed.TokenCounts() {
+	for token, n := range r.executions.TokenCounts() {
 		if n != 1 {
 			t.Errorf("request %s ran %d times", token, n)
 		}
@@ -74,7 +74,7 @@
 		j := r.waitForJob(r.hosts[0], fmt.Sprint("job-", i), scheduler.JobFinished)
 		is.True(strings.Contains(j.Decision, "placed on "+j.Worker)) // kept in the journal after the job's end
 	}
-	is.Equal(emulator.Violations(r.ledger.Runs(), time.Now()), nil)
+	is.Equal(emulator.Violations(r.runLog.Runs(), time.Now()), nil)
 	records, err := r.hosts[1].operator.Explain(context.Background(), "job-3")
 	is.NoErr(err)
 	is.True(len(records) > 0)
