--- a/internal/administrator/exchange.go
+++ b/internal/administrator/exchange.go
@@ -7,7 +7,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// roundTrip writes req to a new connection and reads the complete response.
+// roundTrip writes req to c, which must be a new connection, and reads the complete response.
 func roundTrip(c net.Conn, req *fasthttp.Request, resp *fasthttp.Response) error {
 	req.SetConnectionClose()
 	w := bufio.NewWriter(c)
--- a/internal/coordinator/observe.go
+++ b/internal/coordinator/observe.go
@@ -7,7 +7,7 @@
 	"peridotpitch/internal/storer"
 )
 
-// observedStore passes the result of each call to the store to onResult.
+// observedStore passes the error of each call to the store, or nil, to onResult.
 type observedStore struct {
 	storer.TransactionalStore
 	onResult func(err error)
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -17,12 +17,12 @@
 type Faults struct {
 	Down          bool          // every call is answered 503 and has no effect
 	Slow          time.Duration // delay before a call takes effect
-	SlowFactor    float64       // multiplies service times and run times; 0 is 1
-	LoseAnswers   float64       // share of calls whose connection is closed after the effect
+	SlowFactor    float64       // multiplies service times and run times; 0 means 1
+	LoseAnswers   float64       // share of calls whose connection is closed after the call took effect
 	FreezeReports bool          // a worker repeats the last report that it sent before this was set
 	FailTasks     bool          // every task that starts fails
 	HalfAnswers   float64       // share of answers truncated in the middle of the body
-	LateAnswers   float64       // share of answers that are delayed by LateBy, after the effect
+	LateAnswers   float64       // share of answers that are delayed by LateBy, after the call took effect
 	LateBy        time.Duration
 	WrongIdentity float64 // share of a backend server's answers that belong to another request
 	CutRequests   bool    // one-way partition: calls have no effect and are not answered
@@ -62,42 +62,42 @@
 	return &faultInjector{faults: f, changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
-func (s *faultInjector) get() Faults {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.faults
+func (fi *faultInjector) get() Faults {
+	fi.mu.Lock()
+	defer fi.mu.Unlock()
+	return fi.faults
 }
 
 // set replaces all faults. It ends the wait of calls that CutRequests or CutAnswers holds.
-func (s *faultInjector) set(f Faults) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.faults = f
-	close(s.changed)
-	s.changed = make(chan struct{})
+func (fi *faultInjector) set(f Faults) {
+	fi.mu.Lock()
+	defer fi.mu.Unlock()
+	fi.faults = f
+	close(fi.changed)
+	fi.changed = make(chan struct{})
 }
 
 // draw reports true with the probability share.
-func (s *faultInjector) draw(share float64) bool {
+func (fi *faultInjector) draw(share float64) bool {
 	if share <= 0 {
 		return false
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.rng.Float64() < share
+	fi.mu.Lock()
+	defer fi.mu.Unlock()
+	return fi.rng.Float64() < share
 }
 
 // waitForChange waits until the faults change, stop is closed or maxUnansweredTime has
 // passed.
-func (s *faultInjector) waitForChange(stop <-chan struct{}) {
-	sleepUnlessClosed(maxUnansweredTime, s.changes(), stop)
+func (fi *faultInjector) waitForChange(stop <-chan struct{}) {
+	sleepUnlessClosed(maxUnansweredTime, fi.changes(), stop)
 }
 
 // changes returns a channel that is closed at the next change of the faults.
-func (s *faultInjector) changes() <-chan struct{} {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.changed
+func (fi *faultInjector) changes() <-chan struct{} {
+	fi.mu.Lock()
+	defer fi.mu.Unlock()
+	return fi.changed
 }
 
 // sleepUnlessClosed sleeps for d, or until one of the channels is closed.
@@ -116,16 +116,16 @@
 
 // serveFaults handles GET and POST /faults. A POST replaces all faults by those in the
 // JSON body; an empty object clears them.
-func (s *faultInjector) serveFaults(ctx *fasthttp.RequestCtx) {
+func (fi *faultInjector) serveFaults(ctx *fasthttp.RequestCtx) {
 	if ctx.IsPost() {
 		var f Faults
 		if err := json.Unmarshal(ctx.PostBody(), &f); err != nil {
 			ctx.Error(fmt.Sprintf("faults cannot be decoded: %v", err), fasthttp.StatusBadRequest)
 			return
 		}
-		s.set(f)
+		fi.set(f)
 	}
-	writeJSON(ctx, s.get())
+	writeJSON(ctx, fi.get())
 }
 
 func writeJSON(ctx *fasthttp.RequestCtx, v any) {
--- a/internal/emulator/runlog.go
+++ b/internal/emulator/runlog.go
@@ -22,7 +22,7 @@
 	State     commander.TaskState
 	FromWork  time.Duration // work of earlier runs, restored from the checkpoint
 	ToWork    time.Duration // work done when the run ended, including FromWork
-	SavedWork string        // last complete checkpoint when the run ended
+	SavedWork string        // content of the last complete checkpoint when the run ended
 }
 
 // RunLog records the runs of all machines that share it.
@@ -61,7 +61,7 @@
 	machines := slices.Clone(l.machines)
 	l.mu.Unlock()
 	for _, m := range machines {
-		m.Advance() // takes the machine's lock, which comes before the run log's
+		m.Advance() // locks the machine, which must not happen while l.mu is held
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,23 +93,23 @@
 	return out
 }
 
-// checkRun compares r with the earlier runs of the same task.
+// checkRun returns the violations of r, given the earlier runs of the same task.
 func checkRun(earlier []Run, r Run, now time.Time) []string {
 	var out []string
-	for _, b := range earlier {
-		end := b.Ended
+	for _, e := range earlier {
+		end := e.Ended
 		if end.IsZero() {
 			end = now
 		}
 		if r.Started.Before(end) {
 			out = append(out, fmt.Sprintf("task %s ran twice at the same time: attempt %d on %s until %s, attempt %d on %s from %s",
-				r.Task, b.Attempt, b.Worker, end.Format(time.StampMilli), r.Attempt, r.Worker, r.Started.Format(time.StampMilli)))
+				r.Task, e.Attempt, e.Worker, end.Format(time.StampMilli), r.Attempt, r.Worker, r.Started.Format(time.StampMilli)))
 		}
-		if b.Attempt == r.Attempt {
-			out = append(out, fmt.Sprintf("attempt %d of task %s ran twice: on %s and on %s", r.Attempt, r.Task, b.Worker, r.Worker))
+		if e.Attempt == r.Attempt {
+			out = append(out, fmt.Sprintf("attempt %d of task %s ran twice: on %s and on %s", r.Attempt, r.Task, e.Worker, r.Worker))
 		}
-		if b.State == commander.TaskFinished {
-			out = append(out, fmt.Sprintf("task %s ran again on %s after it had finished on %s", r.Task, r.Worker, b.Worker))
+		if e.State == commander.TaskFinished {
+			out = append(out, fmt.Sprintf("task %s ran again on %s after it had finished on %s", r.Task, r.Worker, e.Worker))
 		}
 	}
 	return out
--- a/internal/estimator/estimator.go
+++ b/internal/estimator/estimator.go
@@ -24,7 +24,7 @@
 // It returns the exit code of the process: 1 after an error or if a series was not measured, 2
 // for invalid arguments.
 func Run(ctx context.Context, arguments []string, stdout, stderr io.Writer) int {
-	size := DeploymentInTwoYears()
+	size := PlannedDeployment()
 	f := flag.NewFlagSet("measure", flag.ContinueOnError)
 	f.SetOutput(stderr)
 	seed := f.Uint64("seed", 1, "seed of the inputs")
@@ -45,11 +45,11 @@
 		return 2
 	}
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	s := measurer{costMeter: costMeter{*budget, repetitions}, seed: *seed}
-	all, err := s.measureAll()
+	ms := measurer{costMeter: costMeter{*budget, repetitions}, seed: *seed}
+	all, err := ms.measureAll()
 	if err == nil {
 		var calls []Series
-		calls, err = s.measureStoreCalls(ctx)
+		calls, err = ms.measureStoreCalls(ctx)
 		all = append(all, calls...)
 	}
 	if err != nil {
@@ -154,7 +154,7 @@
 	return formatNumber(x)
 }
 
-// optimizationSteps are the optimizations in the order in which printOptimizations adds them.
+// optimizationSteps are optimizations that are not implemented, in the order in which printOptimizations adds them.
 var optimizationSteps = []struct {
 	what  string
 	apply func(c *optimizations)
@@ -169,7 +169,7 @@
 	{"configuration read by generation", func(c *optimizations) { c.configKey = true }},
 }
 
-// printOptimizations prints the estimates after each optimization, with all optimizations before
+// printOptimizations prints the estimated usage of an entry host after each optimization, with all optimizations before
 // it applied as well.
 func printOptimizations(w *bytes.Buffer, m model, hosts int) {
 	fmt.Fprint(w, "\nControl on an entry host after each change and those before it, none of which is made yet:\n\n")
--- a/internal/estimator/estimator_test.go
+++ b/internal/estimator/estimator_test.go
@@ -179,7 +179,7 @@
 	for _, s := range all {
 		is.True(len(s.Samples) >= 3) // s.Name is measured at three sizes or more
 	}
-	m := newModel(DeploymentInTwoYears(), all)
+	m := newModel(PlannedDeployment(), all)
 	var b bytes.Buffer
 	for _, n := range []int{12, 24} {
 		printEstimates(&b, m, n)
--- a/internal/estimator/inputs.go
+++ b/internal/estimator/inputs.go
@@ -27,12 +27,12 @@
 	RoutingDecisionsPerHost float64 // decision records per second of refusals, retries and forwards
 }
 
-// DeploymentInTwoYears is the deployment of section 1.6 of the design page. The section states
-// no numbers of services, requests and operators' calls. The assumptions are 20 services,
+// PlannedDeployment is the deployment in two years, of section 1.6 of the design page. The section
+// states no numbers of services, requests and operators' calls. The assumptions are 20 services,
 // 1,000 requests per second at each entry host, of which 1% are refused or retried, and one
 // list of all jobs per minute at each host. With 380 restarts per day, nearly all 990 workers
 // have restarted after a week.
-func DeploymentInTwoYears() Deployment {
+func PlannedDeployment() Deployment {
 	return Deployment{
 		Workers: 990, Accelerators: 1100, Batch: 16000, Instances: 3100, Teams: 200, Services: 20, Domains: 6,
 		JobsPerDay: 19000, StartsPeak: 500, ConfigurationsPerDay: 410, RestartedHosts: 990, ShardWorkers: 50,
--- a/internal/estimator/series.go
+++ b/internal/estimator/series.go
@@ -28,7 +28,7 @@
 	Samples []Sample
 }
 
-// Line is a straight line.
+// Line estimates a figure as a linear function of the size. Base is its value at size 0.
 type Line struct{ Base, Slope float64 }
 
 // At returns the line's value at a size.
@@ -63,14 +63,14 @@
 }
 
 func (s Series) tableRows() []tableRow {
-	var cs []tableRow
+	var rows []tableRow
 	for _, c := range []tableRow{{"time/us", timeOf}, {"allocations", allocsOf}, {s.Bytes, bytesOf}, {s.Counted, countOf}} {
 		measured := slices.ContainsFunc(s.Samples, func(m Sample) bool { return c.field(m) != 0 })
 		if c.name != "" && measured {
-			cs = append(cs, c)
+			rows = append(rows, c)
 		}
 	}
-	return cs
+	return rows
 }
 
 // writeTable writes the series as a Markdown table with one row for each measured field, one
@@ -126,7 +126,9 @@
 
 // cost returns the processor time and allocations of one call of f.
 func (m costMeter) cost(f func()) Sample {
-	f() // the first call fills caches and tables
+	f() // the first call is not measured, because it fills caches
+	// n is doubled until n calls take a quarter of the budget, at most to 1<<22, and then scaled
+	// to the whole budget.
 	n := 1
 	for {
 		began := processorTime()
--- a/internal/estimator/shard.go
+++ b/internal/estimator/shard.go
@@ -12,7 +12,7 @@
 	"peridotpitch/internal/scheduler"
 )
 
-// shardDriver drives one scheduler.Shard with its real placer on virtual time. The emulated
+// shardDriver drives one scheduler.Shard and a placer.Placer on virtual time. The emulated
 // store and workers answer at once, and a started job finishes before the next report.
 type shardDriver struct {
 	shard   *scheduler.Shard
@@ -71,7 +71,8 @@
 	w.report.Tasks = append(w.report.Tasks, t)
 }
 
-// advance advances the virtual time by span and submits jobs at a rate per second.
+// advance advances the virtual time by span and submits jobs at a rate per second, spread
+// evenly over the ticks of a second. Class 0 is the urgent one and is left out.
 func (d *shardDriver) advance(span time.Duration, rate int) {
 	ticks := int(span / scheduler.TickInterval)
 	perSecond := int(time.Second / scheduler.TickInterval)
@@ -98,7 +99,8 @@
 	}
 }
 
-// execute executes an action of the shard and queues the resulting event.
+// execute emulates the store and the workers: it counts an action of the shard and queues the
+// event that answers it.
 func (d *shardDriver) execute(a scheduler.Action) {
 	switch a := a.(type) {
 	case scheduler.SendFence:
@@ -120,7 +122,8 @@
 	}
 }
 
-// report returns a worker's report. The tasks are copied, because the shard retains them.
+// report returns the report of a worker that started an hour before startTime and measured its
+// tasks 500 ms ago. The tasks are copied, because the shard retains them.
 func (d *shardDriver) report(name string) commander.Report {
 	w := d.workers[name]
 	w.report.Clock = d.now.Sub(startTime) + time.Hour
@@ -137,7 +140,7 @@
 	return r
 }
 
-// apply applies commands to an emulated worker.
+// apply changes an emulated worker's tasks as the commands require and returns the results.
 func (d *shardDriver) apply(a scheduler.SendCommands) []commander.Result {
 	w := d.workers[a.Worker]
 	var rs []commander.Result
@@ -178,6 +181,7 @@
 	return ws
 }
 
+// teamQuotas returns the same large quota for each of a number of teams.
 func teamQuotas(teams int) map[string]configurator.Resources {
 	return maps.Collect(func(yield func(string, configurator.Resources) bool) {
 		for i := range teams {
--- a/internal/evaluator/evaluator_test.go
+++ b/internal/evaluator/evaluator_test.go
@@ -33,10 +33,10 @@
 	is.Equal(out[0].String(), out[1].String())
 }
 
-// targetRows returns the rows on which the targets of section 1.7 of the design page are checked,
-// with a third of each firm's hosts and 1 virtual minute. Longer runs take too long with the
-// race detector: 2 minutes of 8 scenarios take 19 minutes of processor time. With a fifth of the
-// hosts, a failure domain has too few instances to choose among.
+// targetRows returns the rows on which the tests below check the targets of section 1.7 of the
+// design page. The runs are short, 1 virtual minute, because 2 virtual minutes of 8 scenarios take
+// 19 minutes of processor time with the race detector. A third of each firm's hosts takes part;
+// with a fifth, a failure domain has too few instances to choose among.
 var targetRows = sync.OnceValue(func() []Row {
 	return evaluate(append([]Policies{ProductPolicies}, BaselinePolicies()...), "steady", "noisy", "slow")
 })
@@ -82,8 +82,8 @@
 	}
 }
 
-// TestTargetLatency guards against a p99 of quotes above 1.05 of the best baseline's, or above
-// 0.7 of it in the scenarios with noisy tasks and slow instances.
+// TestTargetLatency guards against a p99 of quotes above 1.05 times the p99 of the best baseline,
+// or above 0.7 times in the scenarios with noisy tasks and slow instances.
 func TestTargetLatency(t *testing.T) {
 	compareWithBaselines(func(r *Row) time.Duration { return r.P99 }, less, func(p *Row, best time.Duration) {
 		bound := 1.05
@@ -96,8 +96,9 @@
 	})
 }
 
-// TestTargetEvictions guards against more than half as many evictions as the best baseline's,
-// with Dimasalang's weights and summed over the scenarios.
+// TestTargetEvictions guards against more than half as many evictions as with the best baseline of
+// each scenario, summed over the scenarios. It checks the firm Dimasalang, whose Measures give
+// evictions more weight than throughput.
 func TestTargetEvictions(t *testing.T) {
 	product, baseline := 0, 0
 	compareWithBaselines(func(r *Row) int { return r.Evictions }, less, func(p *Row, best int) {
@@ -111,8 +112,9 @@
 	}
 }
 
-// TestTargetThroughput guards against less batch work than 1.1 times the best baseline's with
-// Vitosha's weights, summed over the scenarios.
+// TestTargetThroughput guards against less batch work than 1.1 times the work with the best
+// baseline of each scenario, summed over the scenarios. It checks the firm Vitosha, whose Measures
+// give throughput more weight than evictions.
 func TestTargetThroughput(t *testing.T) {
 	product, baseline := 0.0, 0.0
 	compareWithBaselines(func(r *Row) float64 { return r.Throughput }, more, func(p *Row, best float64) {
--- a/internal/explainer/breakdown.go
+++ b/internal/explainer/breakdown.go
@@ -21,9 +21,9 @@
 
 	// The time from addedAt to endedAt is divided into time in which no task runs, in which
 	// some tasks run while others are ready and wait for a worker, and in which tasks run
-	// and none is known to wait. The log names a waiting task only when it starts, with the
+	// and none is known to wait (runningTime). The log names a waiting task only when it starts, with the
 	// time that it has waited; a task that never starts is not counted as waiting.
-	noRunTime, partlyWaitingTime, allRunningTime time.Duration
+	noRunTime, partlyWaitingTime, runningTime time.Duration
 
 	runs, done, failed, stopped, lost int
 	usefulRunTime                     time.Duration // of runs that ended with outcome done
@@ -33,7 +33,7 @@
 func (s *jobSummary) String() string {
 	return fmt.Sprintf("%s after %s: no run %s, some tasks waiting %s, all running %s; %d runs: %d done, %d failed, %d stopped, %d lost",
 		s.outcome, s.endedAt.Sub(s.addedAt).Round(time.Millisecond), s.noRunTime.Round(time.Millisecond), s.partlyWaitingTime.Round(time.Millisecond),
-		s.allRunningTime.Round(time.Millisecond), s.runs, s.done, s.failed, s.stopped, s.lost)
+		s.runningTime.Round(time.Millisecond), s.runs, s.done, s.failed, s.stopped, s.lost)
 }
 
 // interval is the time in which a task ran, or waited for a worker.
@@ -49,10 +49,10 @@
 
 // summarizeJobs returns the summaries of the jobs whose IDs satisfy wanted, and whose
 // addition and final state are in the log.
-func (g *Log) summarizeJobs(wanted func(id string) bool) []*jobSummary {
+func (lg *Log) summarizeJobs(wanted func(id string) bool) []*jobSummary {
 	builders := make(map[string]*jobBuilder)
 	var ids []string
-	for _, l := range g.Lines {
+	for _, l := range lg.Lines {
 		id := l.Value("Job")
 		if id == "" || !wanted(id) {
 			continue
@@ -90,7 +90,7 @@
 	case orchestrator.EventStart:
 		b.runs++
 		b.openRuns[run] = l.Time
-		if waited, err := time.ParseDuration(inputFigure(l, "Waited")); err == nil {
+		if waited, err := time.ParseDuration(inputValue(l, "Waited")); err == nil {
 			b.waitIntervals = append(b.waitIntervals, interval{l.Time.Add(-waited), l.Time})
 		}
 	case orchestrator.EventAdopt:
@@ -101,7 +101,7 @@
 	case orchestrator.EventEnd, orchestrator.EventRunLost, orchestrator.EventStartRefused:
 		b.endRun(run, l)
 	case orchestrator.EventJobFinished:
-		b.outcome, b.endedAt, b.late = l.Value("Outcome"), l.Time, inputFigure(l, "Late") == "true"
+		b.outcome, b.endedAt, b.late = l.Value("Outcome"), l.Time, inputValue(l, "Late") == "true"
 	}
 }
 
@@ -125,15 +125,15 @@
 		s.failed++
 	case l.Event == orchestrator.EventEnd:
 		s.stopped++
-	default:
+	default: // lost, or refused at the start
 		s.lost++
 	}
 	s.wastedRunTime += took
 }
 
-// inputFigure returns the value of key in a line's field Inputs, which holds key=value pairs.
+// inputValue returns the value of key in a line's field Inputs, which holds key=value pairs.
 // The result is empty if the field does not have the key.
-func inputFigure(l Line, key string) string {
+func inputValue(l Line, key string) string {
 	for _, word := range strings.Fields(l.Value("Inputs")) {
 		if k, v, ok := strings.Cut(word, "="); ok && k == key {
 			return v
@@ -145,7 +145,7 @@
 // splitTime divides the time from the job's addition to its end into noRunTime,
 // partlyWaitingTime and allRunningTime.
 func (b *jobBuilder) splitTime() {
-	for run, from := range b.openRuns { // the log has no line of their end: they count as running until the job's end
+	for run, from := range b.openRuns { // runs whose end is not in the log count as running until the job's end
 		b.runIntervals = append(b.runIntervals, interval{from, b.endedAt})
 		delete(b.openRuns, run)
 	}
@@ -165,7 +165,7 @@
 		case anyCovers(b.waitIntervals, from, to):
 			b.partlyWaitingTime += to.Sub(from)
 		default:
-			b.allRunningTime += to.Sub(from)
+			b.runningTime += to.Sub(from)
 		}
 	}
 }
@@ -178,9 +178,9 @@
 // Breakdown writes a table with a row for each queue: its ended jobs by outcome, the mean
 // time of a job in seconds and its parts, its runs by outcome, and the share of run time
 // that was wasted.
-func (g *Log) Breakdown(w io.Writer) error {
+func (lg *Log) Breakdown(w io.Writer) error {
 	queues := make(map[string][]*jobSummary)
-	for _, s := range g.summarizeJobs(func(string) bool { return true }) {
+	for _, s := range lg.summarizeJobs(func(string) bool { return true }) {
 		queues[s.queue] = append(queues[s.queue], s)
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
@@ -197,7 +197,7 @@
 }
 
 func tableRow(queue string, summaries []*jobSummary) []string {
-	var onTime, late, failed, cancelled int
+	var timely, late, failed, cancelled int
 	var sum jobSummary
 	var jobTime time.Duration // from addition to end
 	for _, s := range summaries {
@@ -206,7 +206,7 @@
 			if s.late {
 				late++
 			} else {
-				onTime++
+				timely++
 			}
 		case orchestrator.StateFailed:
 			failed++
@@ -216,7 +216,7 @@
 		jobTime += s.endedAt.Sub(s.addedAt)
 		sum.noRunTime += s.noRunTime
 		sum.partlyWaitingTime += s.partlyWaitingTime
-		sum.allRunningTime += s.allRunningTime
+		sum.runningTime += s.runningTime
 		sum.runs += s.runs
 		sum.done += s.done
 		sum.failed += s.failed
@@ -232,10 +232,10 @@
 		wasted = fmt.Sprintf("%.0f%%", 100*sum.wastedRunTime.Seconds()/runTime.Seconds())
 	}
 	cells := []string{queue}
-	for _, k := range []int{n, onTime, late, failed, cancelled} {
+	for _, k := range []int{n, timely, late, failed, cancelled} {
 		cells = append(cells, strconv.Itoa(k))
 	}
-	cells = append(cells, mean(jobTime), mean(sum.noRunTime), mean(sum.partlyWaitingTime), mean(sum.allRunningTime))
+	cells = append(cells, mean(jobTime), mean(sum.noRunTime), mean(sum.partlyWaitingTime), mean(sum.runningTime))
 	for _, k := range []int{sum.runs, sum.done, sum.failed, sum.stopped, sum.lost} {
 		cells = append(cells, strconv.Itoa(k))
 	}
--- a/internal/explainer/explain.go
+++ b/internal/explainer/explain.go
@@ -39,20 +39,20 @@
 // a job that has ended. Between the first and the last of these lines, it adds lines with
 // cluster events, and lines with events of workers on which the job has a run at that time. It
 // marks added lines with "*".
-func (g *Log) Explain(w io.Writer, id string) error {
-	first := slices.IndexFunc(g.Lines, func(l Line) bool { return concerns(l, id) })
+func (lg *Log) Explain(w io.Writer, id string) error {
+	first := slices.IndexFunc(lg.Lines, func(l Line) bool { return concerns(l, id) })
 	if first < 0 {
 		return &NotFoundError{ID: id}
 	}
 	last := first
-	for i, l := range g.Lines {
+	for i, l := range lg.Lines {
 		if concerns(l, id) {
 			last = i
 		}
 	}
-	start := g.Lines[first].Time
+	start := lg.Lines[first].Time
 	runsByWorker := make(map[string]map[string]bool)
-	for _, l := range g.Lines[first : last+1] {
+	for _, l := range lg.Lines[first : last+1] {
 		mark := " "
 		switch {
 		case concerns(l, id):
@@ -66,7 +66,7 @@
 			return err
 		}
 	}
-	for _, s := range g.summarizeJobs(func(job string) bool { return job == id }) {
+	for _, s := range lg.summarizeJobs(func(job string) bool { return job == id }) {
 		if _, err := fmt.Fprintf(w, "%s\n", s); err != nil {
 			return err
 		}
--- a/internal/explainer/leaders.go
+++ b/internal/explainer/leaders.go
@@ -19,10 +19,10 @@
 }
 
 // leaderTerms returns the terms in order of time.
-func (g *Log) leaderTerms() []*leaderTerm {
+func (lg *Log) leaderTerms() []*leaderTerm {
 	var all []*leaderTerm
 	var lastActivity time.Time // last start or end of a task
-	for _, l := range g.Lines {
+	for _, l := range lg.Lines {
 		switch l.Event {
 		case "ElectionWon":
 			n := &leaderTerm{host: l.Source, epoch: l.Value("Epoch"), reason: l.Value("Reason"), electedAt: l.Time}
@@ -46,12 +46,12 @@
 // Leaders writes a table with a row for each leader's term: when and why the host was
 // elected, for how long before the election no task had started or ended, and how long after
 // the election the host started its first task.
-func (g *Log) Leaders(w io.Writer) error {
+func (lg *Log) Leaders(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	if _, err := fmt.Fprintln(t, strings.Join([]string{"ELECTED", "LEADER", "EPOCH", "IDLE BEFORE", "FIRST START", "REASON"}, "\t")); err != nil {
 		return err
 	}
-	for _, n := range g.leaderTerms() {
+	for _, n := range lg.leaderTerms() {
 		first := "-"
 		if !n.firstStartAt.IsZero() {
 			first = n.firstStartAt.Sub(n.electedAt).Round(time.Millisecond).String()
--- a/internal/explainer/read.go
+++ b/internal/explainer/read.go
@@ -96,7 +96,7 @@
 	return g, nil
 }
 
-func (g *Log) read(s Source) (err error) {
+func (lg *Log) read(s Source) (err error) {
 	r, err := s.Open()
 	if err != nil {
 		return err
@@ -107,10 +107,10 @@
 	for sc.Scan() {
 		l, err := parseLine(s.Name, sc.Bytes())
 		if err != nil {
-			g.Skipped++
+			lg.Skipped++
 			continue
 		}
-		g.Lines = append(g.Lines, l)
+		lg.Lines = append(lg.Lines, l)
 	}
 	if err := sc.Err(); err != nil {
 		return &ReadError{Source: s.Name, Err: err}
--- a/internal/limiter/budget.go
+++ b/internal/limiter/budget.go
@@ -3,11 +3,11 @@
 const (
 	// retryBudgetRatio is the number of retries allowed per started request of a service.
 	retryBudgetRatio = 0.1
-	// maxRetryCredit bounds the retries accumulated while few attempts fail, so that a
-	// fault of all instances cannot cause a large burst of retries.
+	// maxRetryCredit bounds the credit for retries. Credit accumulates while few attempts
+	// fail; without the bound, a fault of all instances could cause a large burst of retries.
 	maxRetryCredit = 10.0
-	// maxImmediateRetries is the number of retries per request under the baseline policy
-	// Immediate3.
+	// maxImmediateRetries is the number of retries per request under the policy
+	// Immediate3, a baseline that the evaluator compares with.
 	maxImmediateRetries = 3
 )
 
@@ -15,8 +15,8 @@
 // starts empty, so that retries never exceed retryBudgetRatio of the requests started.
 type retryBudget struct{ credit float64 }
 
-// earn adds the credit of one started request.
-func (b *retryBudget) earn() { b.credit = min(maxRetryCredit, b.credit+retryBudgetRatio) }
+// addCredit adds the credit of one started request.
+func (b *retryBudget) addCredit() { b.credit = min(maxRetryCredit, b.credit+retryBudgetRatio) }
 
 // takeRetry reports whether a retry is within the budget, and spends the credit for it.
 func (b *retryBudget) takeRetry() bool {
--- a/internal/limiter/queue.go
+++ b/internal/limiter/queue.go
@@ -71,7 +71,7 @@
 	t.items = slices.Delete(t.items, 0, 1)
 	s.unindex(it)
 	s.running[it.request.ID] = now.After(it.offeredAt)
-	s.retryBudget.earn()
+	s.retryBudget.addCredit()
 	// A tenant without waiting requests keeps its finish tag until the virtual time has
 	// reached the tag. Otherwise the tenant could exceed its share by queueing again at once.
 	for name, t := range c.tenants {
--- a/internal/logger/logger.go
+++ b/internal/logger/logger.go
@@ -48,8 +48,8 @@
 	return len(line), nil
 }
 
-// flush writes the pending lines to out. The memory of reuse becomes the new buffer; the
-// result is the memory of the old one, for the next call. Only one goroutine calls it.
+// flush writes the pending lines to out. reuse becomes the new buffer, and the old buffer is
+// returned as reuse of the next call. Only one goroutine calls flush.
 func (b *buffer) flush(reuse []byte) []byte {
 	b.mu.Lock()
 	lines, dropped := b.pending, b.dropped
@@ -81,7 +81,7 @@
 	return len(lines)
 }
 
-// New returns a logger of key=value lines that writes to out, and a function that writes
+// New returns a logger that writes key=value lines to out, and a function that writes
 // the pending lines and stops the logger. The buffer holds up to bufferBytes.
 func New(out io.Writer, bufferBytes int, level slog.Leveler) (*slog.Logger, func()) {
 	b := &buffer{out: out, limitBytes: bufferBytes}
--- a/internal/messenger/encoding.go
+++ b/internal/messenger/encoding.go
@@ -13,7 +13,7 @@
 // the stack before the decoder detects that it is malformed.
 const (
 	maxNestingDepth      = 16    // levels; the messages of this package nest 5 levels deep
-	maxContainerElements = 65536 // per array or map; the largest list expected has 19,000 jobs
+	maxContainerElements = 65536 // per array or map; the longest list expected, a list of jobs, has 19,000 elements
 )
 
 // MessageTooLargeError reports that an encoded message is larger than MaxMessageBytes.
@@ -150,8 +150,8 @@
 	return valueHeader{}, &MalformedMessageError{Offset: offset, Reason: fmt.Sprintf("unknown type %#x", b[offset])}
 }
 
-// headerWithData describes a value of headerBytes and dataBytes, or returns an error if b
-// ends before that.
+// headerWithData describes a value with headerBytes bytes of header and dataBytes bytes of
+// data, or returns an error if b ends earlier.
 func headerWithData(b []byte, offset, headerBytes, dataBytes int) (valueHeader, error) {
 	if dataBytes > len(b)-offset-headerBytes {
 		return valueHeader{}, &MalformedMessageError{Offset: offset, Reason: "ends early"}
--- a/internal/placer/failures.go
+++ b/internal/placer/failures.go
@@ -26,14 +26,14 @@
 	priorSuccesses = 2
 	// maxFailureHistories bounds the number of workers with a failure history.
 	maxFailureHistories = 4096
-	// maxFailedJobs bounds the number of failed jobs whose first worker is kept.
+	// maxFailedJobs bounds the number of failed jobs for which firstFailedOn keeps a worker.
 	maxFailedJobs = 1024
 )
 
 // failureHistory is the recent history of the tasks that ended on one worker.
 type failureHistory struct {
 	consecutiveFailedJobs []string // different jobs that failed since the last success
-	failed, ended         float64  // recent ends, decayed over failureWindow
+	failed, ended         float64  // weighted numbers of failed and of all ended tasks; weights decay to 0 over failureWindow
 	updatedAt             time.Time
 	quarantinedUntil      time.Time // a probe may be placed from then on; zero if not quarantined
 	quarantineDuration    time.Duration
@@ -54,7 +54,7 @@
 	return failureTracker{workers: map[string]*failureHistory{}, firstFailedOn: map[string]string{}}
 }
 
-func (f *failureTracker) taskEnded(worker, task string, failed bool, now time.Time) {
+func (f *failureTracker) taskEnded(worker, job string, failed bool, now time.Time) {
 	h := f.workers[worker]
 	if h == nil {
 		if !failed {
@@ -66,7 +66,7 @@
 	}
 	h.decay(now)
 	h.ended++
-	if h.probeTask == task && task != "" {
+	if h.probeTask == job && job != "" {
 		f.probeEnded(h, failed, now)
 	}
 	if !failed {
@@ -74,10 +74,10 @@
 		return
 	}
 	h.failed++
-	if f.failedElsewhere(task, worker) || slices.Contains(h.consecutiveFailedJobs, task) {
+	if f.recordFailure(job, worker) || slices.Contains(h.consecutiveFailedJobs, job) {
 		return
 	}
-	h.consecutiveFailedJobs = append(h.consecutiveFailedJobs, task)
+	h.consecutiveFailedJobs = append(h.consecutiveFailedJobs, job)
 	if len(h.consecutiveFailedJobs) < quarantineFailures || !h.quarantinedUntil.IsZero() {
 		return
 	}
@@ -114,9 +114,10 @@
 	h.quarantineDuration = 0
 }
 
-// failedElsewhere reports whether the job has failed on another worker before. If so, the cause is
-// more likely in the job than in the worker. The first worker on which a job fails is recorded.
-func (f *failureTracker) failedElsewhere(job, worker string) bool {
+// recordFailure records the first worker on which a job fails. It reports whether the job's first
+// known failure was on another worker. If so, the cause is more likely in the job than in the
+// given worker.
+func (f *failureTracker) recordFailure(job, worker string) bool {
 	first, ok := f.firstFailedOn[job]
 	if ok {
 		return first != worker
@@ -137,7 +138,8 @@
 	h.updatedAt = now
 }
 
-// rate returns the recent share of failed tasks on a worker, below 1.
+// rate returns the estimated share of failed tasks on a worker, below 1. It counts
+// priorSuccesses in addition to the tasks that ended.
 func (f *failureTracker) rate(worker string, now time.Time) float64 {
 	if len(f.workers) == 0 {
 		return 0
@@ -155,8 +157,9 @@
 	return h != nil && !h.quarantinedUntil.IsZero()
 }
 
-// excludes reports whether a task must not be placed on a worker because of its quarantine. A worker
-// that is due for a probe may take one batch task that is not urgent and is on its first attempt.
+// excludes reports whether a task must not be placed on a worker because the worker is in
+// quarantine, by this tracker or by the caller (Worker.Quarantined). A worker that is due for a
+// probe may take one batch task that is not urgent and is on its first attempt.
 func (f *failureTracker) excludes(w *Worker, t *Task, now time.Time) bool {
 	h := f.workers[w.Name]
 	if h == nil || h.quarantinedUntil.IsZero() {
@@ -184,7 +187,7 @@
 	h.probeStarted = now
 }
 
-// prune evicts the history that was updated the longest ago, among workers not in quarantine.
+// prune removes the history that was updated the longest ago, among workers not in quarantine.
 func (f *failureTracker) prune() {
 	if len(f.workers) < maxFailureHistories {
 		return
--- a/internal/placer/types.go
+++ b/internal/placer/types.go
@@ -47,7 +47,7 @@
 	AssignedTasks []AssignedTask
 	MeasuredAt    time.Time // measurement time of the last report, in the caller's clock
 	Leaving       bool
-	Quarantined   bool // by the caller; the placer quarantines workers itself as well
+	Quarantined   bool // set by the caller (at present by none); the placer quarantines workers itself as well
 	EpochAccepted bool // the worker has accepted the owner's epoch; otherwise it gets no tasks
 
 	// Version changes whenever any other field but MeasuredAt changes. Place reuses sums
--- a/internal/requester/requester_test.go
+++ b/internal/requester/requester_test.go
@@ -39,13 +39,13 @@
 	return l.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// Guards against an incomplete or malformed answer that is accepted.
+// TestMalformedAnswersAreErrors checks that an incomplete or malformed answer is an error.
 func TestMalformedAnswersAreErrors(t *testing.T) {
 	for name, text := range map[string]string{
 		"no answer":        "",
 		"no end of header": "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n",
 		"short body":       "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{}",
-		"cut chunk":        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{}",
+		"incomplete chunk": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{}",
 		"not HTTP":         "hello\r\n\r\n",
 		"too large":        "HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n",
 	} {
@@ -61,7 +61,8 @@
 	}
 }
 
-// Guards against a call that is canceled before it is sent and is reported as sent.
+// TestCanceledCallIsNotSent checks that a call that is canceled before it is sent is not
+// reported as sent.
 func TestCanceledCallIsNotSent(t *testing.T) {
 	is := is.New(t)
 	r, stop := requester.New(startRawServer(t, ""), requester.Options{})
--- a/internal/router/example_test.go
+++ b/internal/router/example_test.go
@@ -10,7 +10,8 @@
 	"peridotpitch/internal/router"
 )
 
-// An instance with 8 slots gives each of two entry hosts a base share of 3.
+// An instance with 8 slots gives each of two entry hosts a base share of 3. The other
+// 2 slots form the pool and need a grant.
 func ExampleRouter() {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	r := router.New(router.Settings{Policy: configurator.RoutingAdaptive}, rand.New(rand.NewPCG(1, 1)))
--- a/internal/router/types.go
+++ b/internal/router/types.go
@@ -6,7 +6,8 @@
 	"peridotpitch/internal/configurator"
 )
 
-// Durations that bound how long slots may be in use without an entry host's knowledge.
+// Parts of the time for which slots may still be in use by another entry host or by an
+// abandoned request.
 const (
 	// ConfigurationDelay bounds the time in which every entry host adopts an accepted
 	// configuration.
@@ -15,8 +16,9 @@
 	GrantDuration = 3 * time.Second
 	// AbandonMargin is the time for which an abandoned request counts as running after
 	// its deadline. It covers the one-way network delay to the backend server (1 ms), the
-	// drift between two clocks over 30 s and the time the server takes to stop the request.
-	// With 500 ms, goodput at twice the capacity fell to half in simulation.
+	// drift between two clocks over the longest request timeout (30 s) and the time the
+	// server takes to stop the request. A longer margin costs goodput: with 500 ms, goodput
+	// at twice the capacity falls to half in simulation.
 	AbandonMargin = 100 * time.Millisecond
 )
 
@@ -24,18 +26,20 @@
 type Settings struct {
 	Policy            configurator.RoutingPolicy
 	MaxRequestTimeout time.Duration
-	// HoldUntil keeps the base share at zero until this time. A host whose earlier process
-	// crashed with requests in flight sets it to the start time plus MaxRequestTimeout, so
-	// that the requests of the two processes together do not exceed the share.
+	// HoldUntil keeps the base share (the slots that the host may use without a grant) at
+	// zero until this time. A host whose earlier process crashed with requests in flight
+	// sets it to the start time plus MaxRequestTimeout, so that the requests of the two
+	// processes together do not exceed the share.
 	HoldUntil time.Time
 }
 
 // Membership is the configured number of entry hosts of the failure domain.
 type Membership struct {
 	Hosts int
-	// Settled states that Hosts has been the configured number at every entry host for at
-	// least ShareDelay, or that no other number was ever configured. If Settled is false at
-	// the first Update, the router uses its base share only after ShareDelay.
+	// Settled is true if Hosts has been the configured number at every entry host for at
+	// least ShareDelay(MaxRequestTimeout), or if no other number was ever configured. If
+	// Settled is false at the first Update, the router uses its base share only after that
+	// delay.
 	Settled bool
 }
 
@@ -58,7 +62,8 @@
 // Choice is the result of Pick: ChosenInstance or NoInstance.
 type Choice interface{ choice() }
 
-// ChosenInstance is a chosen instance. The slot is held until Done.
+// ChosenInstance is the result of Pick if an instance has a free slot. The slot is held until
+// Done.
 type ChosenInstance struct {
 	Name        string
 	Address     string // ip:port
@@ -84,7 +89,7 @@
 // Outcome kinds.
 const (
 	OutcomeAnswered  OutcomeKind = "answered"  // complete response; frees the slot
-	OutcomeNotRun    OutcomeKind = "not-run"   // nothing written, or rejected by the instance; frees the slot
+	OutcomeNotRun    OutcomeKind = "not-run"   // the request was not sent, or the instance rejected it; frees the slot
 	OutcomeUnused    OutcomeKind = "unused"    // no attempt was made; frees the slot
 	OutcomeAbandoned OutcomeKind = "abandoned" // may still run; the slot stays used until the deadline plus AbandonMargin
 )
--- a/internal/scheduler/placing.go
+++ b/internal/scheduler/placing.go
@@ -13,9 +13,8 @@
 )
 
 const (
-	// minPlacementDelay is the time from the first postponement of a task to the next
-	// placement decision about the task. The time doubles with each further postponement,
-	// except for urgent tasks.
+	// minPlacementDelay is the delay of a task's next placement decision after its first
+	// postponement. It doubles with each further postponement, except for urgent tasks.
 	minPlacementDelay = 200 * time.Millisecond
 	// maxPlacementDelay is the longest time between two placement decisions about a task.
 	maxPlacementDelay = 8 * time.Second
@@ -77,10 +76,10 @@
 	}
 }
 
-// placerView returns the placer's description of a worker. It lists every task that holds
+// placerWorker returns the placer's description of a worker. It lists every task that holds
 // capacity: tasks that are starting, running, stopping, unconfirmed or left by an earlier
 // owner.
-func (s *Shard) placerView(w *worker, now time.Time) placer.Worker {
+func (s *Shard) placerWorker(w *worker, now time.Time) placer.Worker {
 	v := placer.Worker{
 		Name: w.name, Rack: w.config.Rack, FailureDomain: s.settings.FailureDomain,
 		Capacity:      w.report.Capacity,
@@ -91,9 +90,9 @@
 	for _, name := range sortedNames(w.tasks) {
 		v.AssignedTasks = append(v.AssignedTasks, s.placerAssignedTask(w.tasks[name]))
 	}
-	for _, o := range w.unassigned {
-		if o.report.State.Active() {
-			v.AssignedTasks = append(v.AssignedTasks, placerUnassignedTask(o.report))
+	for _, u := range w.unassigned {
+		if u.report.State.Active() {
+			v.AssignedTasks = append(v.AssignedTasks, placerUnassignedTask(u.report))
 		}
 	}
 	return v
@@ -101,19 +100,20 @@
 
 // placerAssignedTask returns the placer's description of an assigned task.
 func (s *Shard) placerAssignedTask(t *task) placer.AssignedTask {
-	r := placer.AssignedTask{
+	a := placer.AssignedTask{
 		Task: s.placerTask(t), Measured: t.report.Used, Slowdown: t.report.Slowdown, Started: t.Started,
 		Throttled: t.throttleLimit, LastAction: t.lastActionAt, Stopping: t.State == JobEvicting || t.State == JobCanceling,
 	}
-	r.Committed = placer.CommittedResources(r.Declared, r.Measured)
+	a.Committed = placer.CommittedResources(a.Declared, a.Measured)
 	if v := s.serviceOf(t); v != nil {
-		r.LatencyTarget = v.LatencyTarget
+		a.LatencyTarget = v.LatencyTarget
 	}
-	return r
+	return a
 }
 
 // placerUnassignedTask returns the placer's description of a task that the shard has not
-// assigned to the worker. It counts as stopping, because the shard does not manage it.
+// assigned to the worker. It counts as stopping, so that the placer neither throttles nor
+// evicts a task that the shard does not manage.
 func placerUnassignedTask(tr commander.TaskReport) placer.AssignedTask {
 	return placer.AssignedTask{
 		Task:      placer.Task{Name: tr.Task, Class: tr.Class, Kind: string(tr.Kind), Declared: tr.Declared, Attempt: tr.Attempt},
@@ -121,12 +121,12 @@
 	}
 }
 
-// placerViews returns the descriptions of all workers that have sent a report.
-func (s *Shard) placerViews(now time.Time) []placer.Worker {
+// placerWorkers returns the descriptions of all workers that have sent a report.
+func (s *Shard) placerWorkers(now time.Time) []placer.Worker {
 	var vs []placer.Worker
 	for _, w := range s.sortedWorkers() {
 		if !w.reportReceivedAt.IsZero() {
-			vs = append(vs, s.placerView(w, now))
+			vs = append(vs, s.placerWorker(w, now))
 		}
 	}
 	return vs
@@ -139,7 +139,7 @@
 	if len(queue) == 0 {
 		return
 	}
-	vs := s.placerViews(now)
+	vs := s.placerWorkers(now)
 	for _, t := range queue[:min(len(queue), maxPlacementsPerTick)] {
 		switch d := s.settings.Placer.Place(s.placerTask(t), vs, now).(type) {
 		case placer.Assign:
@@ -164,6 +164,7 @@
 		switch {
 		case t.State != JobPending || now.Before(t.nextPlacementAt):
 		case s.storeUnavailable && t.submittedVersion > s.durableVersion:
+			// The stored journal does not hold the task yet.
 		case t.inherited && !recovered && t.kind == commander.KindBatch:
 			// A worker that has not accepted this owner's epoch may still run the job.
 		case t.kind == commander.KindBatch && active[t.Spec.Name]:
@@ -183,9 +184,9 @@
 func (s *Shard) activeUnassignedTasks(now time.Time) map[string]bool {
 	active := make(map[string]bool)
 	for _, w := range s.workers {
-		for _, o := range w.unassigned {
-			if o.report.State.Active() && !unassignedLeaseEnded(w, o, now) {
-				active[o.report.Task] = true
+		for _, u := range w.unassigned {
+			if u.report.State.Active() && !unassignedLeaseEnded(w, u, now) {
+				active[u.report.Task] = true
 			}
 		}
 	}
@@ -194,8 +195,8 @@
 
 // unassignedLeaseEnded reports whether the lease of an unassigned task on an unresponsive
 // worker has ended, so that the task no longer runs.
-func unassignedLeaseEnded(w *worker, o *unassignedTask, now time.Time) bool {
-	return w.unresponsive(now, unresponsiveTimeout) && now.After(w.reportReceivedAt.Add(o.report.LeaseEnd-w.report.Clock+leaseDriftMargin))
+func unassignedLeaseEnded(w *worker, u *unassignedTask, now time.Time) bool {
+	return w.unresponsive(now, unresponsiveTimeout) && now.After(w.reportReceivedAt.Add(u.report.LeaseEnd-w.report.Clock+leaseDriftMargin))
 }
 
 // assign assigns a task to the worker that the placer chose. The start command follows
@@ -224,8 +225,8 @@
 		return false
 	}
 	used := s.declaredSize(t)
-	for _, r := range v.AssignedTasks {
-		used = used.Add(r.Declared)
+	for _, a := range v.AssignedTasks {
+		used = used.Add(a.Declared)
 	}
 	return used.Fits(v.Capacity)
 }
@@ -269,8 +270,8 @@
 	}
 	for i := range vs {
 		for k := range vs[i].AssignedTasks {
-			if r := &vs[i].AssignedTasks[k]; vs[i].Name == d.Worker && slices.Contains(d.Victims, r.Name) {
-				r.Stopping, r.LastAction = true, now
+			if a := &vs[i].AssignedTasks[k]; vs[i].Name == d.Worker && slices.Contains(d.Victims, a.Name) {
+				a.Stopping, a.LastAction = true, now
 			}
 		}
 	}
@@ -299,20 +300,20 @@
 		return
 	}
 	s.lastMitigationAt = now
-	for _, r := range s.settings.Placer.Mitigate(s.placerViews(now), now) {
-		switch r := r.(type) {
+	for _, m := range s.settings.Placer.Mitigate(s.placerWorkers(now), now) {
+		switch m := m.(type) {
 		case placer.Throttle:
-			s.throttle(r, now)
+			s.throttle(m, now)
 		case placer.Checkpoint:
-			s.evictForMitigation(r.Worker, r.Task, r.Cause, r.Rule, evictionGracePeriod, r.Candidates, now)
+			s.evictForMitigation(m.Worker, m.Task, m.Cause, m.Rule, evictionGracePeriod, m.Candidates, now)
 		case placer.Stop:
-			s.evictForMitigation(r.Worker, r.Task, r.Cause, r.Rule, 0, r.Candidates, now)
+			s.evictForMitigation(m.Worker, m.Task, m.Cause, m.Rule, 0, m.Candidates, now)
 		}
 	}
 }
 
 // evictForMitigation evicts a batch task that degrades a service. If the task is already
-// being evicted, the grace period is only shortened.
+// being evicted, only a shorter grace period has an effect.
 func (s *Shard) evictForMitigation(worker, name, cause string, rule placer.Rule, grace time.Duration, cs []placer.Candidate, now time.Time) {
 	t := s.tasks[name]
 	if t == nil || t.Worker != worker || t.kind != commander.KindBatch {
@@ -325,17 +326,19 @@
 	s.evict(t, cause, string(rule), grace, cs, now)
 }
 
-func (s *Shard) throttle(r placer.Throttle, now time.Time) {
-	t := s.tasks[r.Task]
-	if t == nil || t.Worker != r.Worker || t.State != JobRunning {
+// throttle sets or removes the limit of a running batch task.
+func (s *Shard) throttle(m placer.Throttle, now time.Time) {
+	t := s.tasks[m.Task]
+	if t == nil || t.Worker != m.Worker || t.State != JobRunning {
 		return
 	}
-	t.throttleLimit, t.lastActionAt = r.Limit, now
-	s.recordDecision(DecisionRecord{ID: r.Task, Kind: recorder.KindThrottle, Rule: string(r.Rule), Cause: r.Cause, Worker: r.Worker, Candidates: r.Candidates}, now)
+	t.throttleLimit, t.lastActionAt = m.Limit, now
+	s.recordDecision(DecisionRecord{ID: m.Task, Kind: recorder.KindThrottle, Rule: string(m.Rule), Cause: m.Cause, Worker: m.Worker, Candidates: m.Candidates}, now)
 }
 
 // evacuateLeavingWorkers evicts the batch tasks and retires the service instances of
-// workers that are leaving or no longer configured.
+// workers that are leaving or no longer configured. The recorded rule "HostLeaving" means
+// that the worker is leaving.
 func (s *Shard) evacuateLeavingWorkers(now time.Time) {
 	for _, w := range s.sortedWorkers() {
 		if !w.leaving && !w.report.Leaving && !w.removed {
--- a/internal/scheduler/shard.go
+++ b/internal/scheduler/shard.go
@@ -17,7 +17,8 @@
 	// BatchLeaseDuration is the longest lease of a batch task.
 	BatchLeaseDuration = 20 * time.Second
 	// ServiceLeaseDuration is the lease of a service instance. It is long because duplicate
-	// instances are harmless and an outage must not stop a service.
+	// instances are harmless and an outage of the owner or of the store must not stop a
+	// service.
 	ServiceLeaseDuration = 10 * time.Minute
 	// commandValidity is the time after sending during which a worker accepts a command.
 	// A command without an answer can no longer take effect after this time.
@@ -27,7 +28,8 @@
 	batchRenewalInterval = 5 * time.Second
 	// serviceRenewalInterval is the time between two renewals of a service instance's lease.
 	serviceRenewalInterval = 2 * time.Minute
-	// pollInterval is the time between two fences or report requests to a worker.
+	// pollInterval is the time between two requests to a worker: to accept the epoch
+	// (SendFence) or to report (RequestReport).
 	pollInterval = time.Second
 	// startResendInterval is the time after which an unconfirmed start may be sent again.
 	startResendInterval = time.Second
@@ -65,7 +67,7 @@
 	Shard         string // "domain/shard"
 	FailureDomain string
 	Host          string // the shard's owner
-	Writer        string // incarnation of the owner's process
+	Writer        string // incarnation of the owner's process, which differs after each restart
 	Placer        Placer
 }
 
@@ -73,10 +75,10 @@
 type phase string
 
 const (
-	phaseUnclaimed phase = "waiting"
+	phaseUnclaimed phase = "waiting" // not yet claimed by this host
 	phaseOwned     phase = "owned"
 	phaseReleasing phase = "released" // the next journal write clears the owner
-	phaseLost      phase = "lost"
+	phaseEnded     phase = "lost"     // released, or owned by another host
 )
 
 // Shard is the state machine of one shard. It is not safe for concurrent use.
@@ -89,23 +91,23 @@
 	workers  map[string]*worker
 	history  jobHistory
 
-	// placingUntil and runningUntil are the ends of the leases for placing and for running
-	// tasks. At earlierOwnersEndAt, the lease for running tasks of every earlier owner has
-	// ended; it is zero until known.
+	// placingUntil is the end of the owner's lease for placing tasks, and runningUntil the
+	// end of its lease for running tasks. earlierOwnersEndAt is the time at which the leases
+	// for running tasks of all earlier owners have ended; it is zero until known.
 	placingUntil, runningUntil, earlierOwnersEndAt time.Time
 	claimedAt                                      time.Time
-	recoveryPending                                bool // tasks started by an earlier owner may not have been found yet
+	recoveryPending                                bool // there may be tasks of an earlier owner that have not been found yet
 
-	version          uint64 // number of the last change
+	version          uint64 // counts the changes that the journal must hold
 	durableVersion   uint64 // last version that the stored journal holds
 	writeSoon        bool   // write after minWriteInterval instead of maxWriteInterval
 	lastWrite        journalWrite
 	lastWriteAt      time.Time
 	writeRetryAt     time.Time
 	storeUnavailable bool
-	journalBytes     int // estimated size of the encoded journal
-	pendingAnswers   []pendingAnswer
-	pendingImports   []pendingImport
+	journalBytes     int             // estimated size of the encoded journal
+	pendingAnswers   []pendingAnswer // answers that wait for a journal write
+	pendingImports   []pendingImport // imports that wait for a journal write
 
 	instanceRetryAt  map[instanceKey]time.Time // earliest restart of a failed instance
 	lastMitigationAt time.Time
@@ -122,7 +124,7 @@
 	retiring      bool // the instance is to be stopped
 	retiringSince time.Time
 
-	submittedVersion uint64 // version that first listed the task
+	submittedVersion uint64 // version of the change that added the task
 	changedVersion   uint64 // version of the last change of state
 	inherited        bool   // listed by an earlier owner's journal
 
@@ -134,7 +136,7 @@
 	stopSentAt     time.Time
 	// leaseUntil is the latest time at which the worker may still run the task.
 	leaseUntil        time.Time
-	gracePeriod       time.Duration // time that a stop command allows
+	gracePeriod       time.Duration // time that a stop command allows for the last checkpoint or for draining
 	evictionCause     string
 	throttleLimit     float64 // share of the declared cores; 0 or 1 is no limit
 	throttleLimitSent float64
@@ -142,7 +144,7 @@
 	report            commander.TaskReport
 	nextPlacementAt   time.Time
 	postponements     int
-	lastReason        string // last recorded rule of a postponement, or reason of a refused start
+	lastReason        string // rule of the last recorded postponement, or reason of the last recorded refusal of a start
 }
 
 // NewShard returns a shard that takes no action before the event Claimed.
@@ -160,7 +162,7 @@
 // Step applies an event and returns the actions that the caller must carry out.
 func (s *Shard) Step(e Event, now time.Time) []Action {
 	s.actions = nil
-	if s.phase == phaseLost {
+	if s.phase == phaseEnded {
 		s.rejectWhenLost(e)
 		return s.actions
 	}
@@ -236,7 +238,7 @@
 }
 
 func (s *Shard) handleJournalLost(e JournalLost) {
-	s.phase = phaseLost
+	s.phase = phaseEnded
 	for _, a := range s.pendingAnswers {
 		s.emit(AnswerSubmission{Request: a.request, Unknown: true, Reason: "shard is now owned by " + e.Owner})
 	}
@@ -263,8 +265,8 @@
 	s.recoveryPending = e.Journal.Epoch > 1
 	s.history.load(e.JobHistory)
 	s.version, s.durableVersion = 1, 1
-	for _, b := range e.Journal.Jobs {
-		t := &task{JobEntry: b, kind: commander.KindBatch, submittedVersion: 1, changedVersion: 1, inherited: true}
+	for _, entry := range e.Journal.Jobs {
+		t := &task{JobEntry: entry, kind: commander.KindBatch, submittedVersion: 1, changedVersion: 1, inherited: true}
 		s.restoreTask(t)
 	}
 	for _, i := range e.Journal.Instances {
@@ -383,7 +385,7 @@
 	return ts
 }
 
-// tick makes the decisions that depend on time.
+// tick does the periodic work of the owner.
 func (s *Shard) tick(now time.Time) {
 	if s.phase != phaseOwned || s.config == nil {
 		return
@@ -405,7 +407,7 @@
 // may arrive by the thousand, such as submissions, send no commands: the next tick sends
 // them in one pass over the workers.
 func (s *Shard) flush(e Event, now time.Time) {
-	if s.phase == phaseUnclaimed || s.phase == phaseLost {
+	if s.phase == phaseUnclaimed || s.phase == phaseEnded {
 		return
 	}
 	s.writeJournal(now)
@@ -452,8 +454,8 @@
 		}
 	}
 	for i := range s.history.jobs {
-		if b := &s.history.jobs[i]; s.tasks[b.Spec.Name] == nil {
-			js = append(js, s.status(b))
+		if e := &s.history.jobs[i]; s.tasks[e.Spec.Name] == nil {
+			js = append(js, s.status(e))
 		}
 	}
 	slices.SortFunc(js, func(a, b JobStatus) int { return cmp.Compare(a.Spec.Name, b.Spec.Name) })
@@ -465,8 +467,8 @@
 	if t := s.tasks[name]; t != nil && t.kind == commander.KindBatch {
 		return s.status(&t.JobEntry), true
 	}
-	if b := s.history.find(name); b != nil {
-		return s.status(b), true
+	if e := s.history.find(name); e != nil {
+		return s.status(e), true
 	}
 	return JobStatus{}, false
 }
@@ -482,16 +484,17 @@
 	return len(s.workers), accepted
 }
 
-// StoreAvailable reports whether the last journal write succeeded.
+// StoreAvailable reports whether the store counts as available: no journal write has failed
+// or ended with an unknown outcome since the last successful one.
 func (s *Shard) StoreAvailable() bool { return !s.storeUnavailable }
 
-func (s *Shard) status(b *JobEntry) JobStatus {
+func (s *Shard) status(e *JobEntry) JobStatus {
 	return JobStatus{
-		Spec: b.Spec, State: b.State, Shard: s.settings.Shard, Worker: b.Worker, Attempt: b.Attempt,
-		Evictions: b.Evictions, Checkpoint: b.Checkpoint, Submitted: b.Submitted, Started: b.Started,
-		Ended: b.Ended, Decision: b.Decision,
+		Spec: e.Spec, State: e.State, Shard: s.settings.Shard, Worker: e.Worker, Attempt: e.Attempt,
+		Evictions: e.Evictions, Checkpoint: e.Checkpoint, Submitted: e.Submitted, Started: e.Started,
+		Ended: e.Ended, Decision: e.Decision,
 	}
 }
 
 // Ended reports whether the shard was released or lost.
-func (s *Shard) Ended() bool { return s.phase == phaseLost }
+func (s *Shard) Ended() bool { return s.phase == phaseEnded }
--- a/internal/scheduler/work.go
+++ b/internal/scheduler/work.go
@@ -189,7 +189,7 @@
 		delete(s.workers, w.name)
 	}
 	if s.config != nil {
-		s.settings.Placer.Observe(s.placerView(w, now), now)
+		s.settings.Placer.Observe(s.placerWorker(w, now), now)
 	}
 }
 
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -24,8 +24,8 @@
 	"peridotpitch/internal/scheduler"
 )
 
-// eventTimeout limits the wait for an event. It is long because the tests check what
-// happens, not how fast the machine is.
+// eventTimeout limits the wait for an event. It is long, so that a slow machine does not fail
+// the tests.
 const eventTimeout = 60 * time.Second
 
 // cluster is a set of entry hosts in this process with an emulated platform and workers.
@@ -61,11 +61,11 @@
 	is := is.New(t)
 	_, key, err := ed25519.GenerateKey(nil)
 	is.NoErr(err)
-	r := &cluster{t: t, key: key, runLog: emulator.NewRunLog(), executions: emulator.NewExecutions(), serviceTime: serviceTime}
+	cl := &cluster{t: t, key: key, runLog: emulator.NewRunLog(), executions: emulator.NewExecutions(), serviceTime: serviceTime}
 	platform, storeAddress, closePlatform, err := emulator.NewPlatform(emulator.PlatformOptions{})
 	is.NoErr(err)
 	t.Cleanup(closePlatform)
-	r.platform = platform
+	cl.platform = platform
 	c := &configurator.Configuration{
 		Generation: 1, Firm: "Test", Measures: configurator.Measures{Latency: 3, Evictions: 2, Throughput: 1},
 		Policy: configurator.Policy{
@@ -81,82 +81,82 @@
 	for i, d := range clusterDomains {
 		c.FailureDomains = append(c.FailureDomains, configurator.FailureDomain{Name: d, Region: "R", Successor: clusterDomains[1-i]})
 		for j := range 2 {
-			r.addWorker(c, d, j)
-			r.addSettings(c, d, j, storeAddress)
+			cl.addWorker(c, d, j)
+			cl.addSettings(c, d, j, storeAddress)
 		}
 	}
-	for i := range r.settings {
-		for j, p := range r.settings {
+	for i := range cl.settings {
+		for j, p := range cl.settings {
 			if i != j {
-				r.settings[i].Peers = append(r.settings[i].Peers, loader.Peer{Name: p.Name, FailureDomain: p.FailureDomain, Address: p.MessageAddress})
+				cl.settings[i].Peers = append(cl.settings[i].Peers, loader.Peer{Name: p.Name, FailureDomain: p.FailureDomain, Address: p.MessageAddress})
 			}
 		}
-		r.hosts = append(r.hosts, r.start(r.settings[i]))
+		cl.hosts = append(cl.hosts, cl.start(cl.settings[i]))
 	}
-	r.apply(c)
-	return r
+	cl.apply(c)
+	return cl
 }
 
-func (r *cluster) addWorker(c *configurator.Configuration, domain string, i int) {
+func (cl *cluster) addWorker(c *configurator.Configuration, domain string, i int) {
 	name := fmt.Sprintf("%s-worker-%d", domain, i)
 	capacity := configurator.Resources{Cores: 16, Memory: 60e9}
 	w, address, closeWorker, err := emulator.NewWorker(emulator.WorkerOptions{
-		MachineOptions: emulator.MachineOptions{Name: name, Capacity: capacity, RunLog: r.runLog, Seed: uint64(i)},
-		Executions:     r.executions,
-		Backend:        emulator.BackendOptions{ServiceTime: r.serviceTime},
+		MachineOptions: emulator.MachineOptions{Name: name, Capacity: capacity, RunLog: cl.runLog, Seed: uint64(i)},
+		Executions:     cl.executions,
+		Backend:        emulator.BackendOptions{ServiceTime: cl.serviceTime},
 	})
-	is.New(r.t).NoErr(err)
-	r.t.Cleanup(closeWorker)
-	r.workers = append(r.workers, w)
+	is.New(cl.t).NoErr(err)
+	cl.t.Cleanup(closeWorker)
+	cl.workers = append(cl.workers, w)
 	c.Workers = append(c.Workers, configurator.Worker{Name: name, FailureDomain: domain, Rack: domain + "-rack", Shard: "1", Address: address, Capacity: capacity})
 }
 
-func (r *cluster) addSettings(c *configurator.Configuration, domain string, i int, store netip.AddrPort) {
-	ports := harness.FreeAddresses(r.t, 3)
+func (cl *cluster) addSettings(c *configurator.Configuration, domain string, i int, store netip.AddrPort) {
+	ports := harness.FreeAddresses(cl.t, 3)
 	s := loader.Settings{
 		Name: fmt.Sprintf("%s-entry-%d", domain, i), FailureDomain: domain, StoreAddress: store,
 		CallerAddress: ports[0], MessageAddress: ports[1], AdminAddress: ports[2],
-		OperatorKeys: configurator.Keys{"maria": r.key.Public().(ed25519.PublicKey)}, LogLevel: slog.LevelInfo,
+		OperatorKeys: configurator.Keys{"maria": cl.key.Public().(ed25519.PublicKey)}, LogLevel: slog.LevelInfo,
 		Limits: loader.Limits{MaxQueuedRequests: 1000, MaxDecisionRecords: 10000, StoreTimeout: 2 * time.Second, MessageTimeout: time.Second, DrainTimeout: 20 * time.Second},
 	}
-	r.settings = append(r.settings, s)
+	cl.settings = append(cl.settings, s)
 	c.EntryHosts = append(c.EntryHosts, configurator.EntryHost{Name: s.Name, FailureDomain: domain, Address: s.MessageAddress})
 }
 
-func (r *cluster) start(s loader.Settings) *runningHost {
+func (cl *cluster) start(s loader.Settings) *runningHost {
 	logs := io.Discard
 	if os.Getenv("SERVER_LOGS") != "" {
 		logs = os.Stderr
 	}
 	h, cleanup, err := newHost(s, "test", slog.New(slog.NewTextHandler(logs, nil)).With("Host", s.Name))
-	is.New(r.t).NoErr(err)
-	ctx, stop := context.WithCancel(r.t.Context())
-	x := &runningHost{host: h, operator: administrator.NewClient(s.AdminAddress, 10*time.Second), stop: stop, group: new(errgroup.Group)}
-	x.group.Go(func() error {
+	is.New(cl.t).NoErr(err)
+	ctx, stop := context.WithCancel(cl.t.Context())
+	running := &runningHost{host: h, operator: administrator.NewClient(s.AdminAddress, 10*time.Second), stop: stop, group: new(errgroup.Group)}
+	running.group.Go(func() error {
 		defer cleanup()
 		return h.run(ctx)
 	})
-	r.t.Cleanup(func() {
+	cl.t.Cleanup(func() {
 		stop()
-		if err := x.group.Wait(); err != nil {
-			r.t.Errorf("%s: %v", s.Name, err)
+		if err := running.group.Wait(); err != nil {
+			cl.t.Errorf("%s: %v", s.Name, err)
 		}
 	})
-	return x
+	return running
 }
 
-func (r *cluster) apply(c *configurator.Configuration) {
+func (cl *cluster) apply(c *configurator.Configuration) {
 	text := configurator.Print(c)
-	s := publisher.Submission{Text: string(text), Signature: configurator.Sign(text, r.key), Key: "maria", Replaces: c.Replaces, AppliedBy: "maria"}
-	r.eventually("apply configuration", func() error {
-		_, err := r.hosts[0].operator.ApplyConfiguration(context.Background(), s)
+	s := publisher.Submission{Text: string(text), Signature: configurator.Sign(text, cl.key), Key: "maria", Replaces: c.Replaces, AppliedBy: "maria"}
+	cl.eventually("apply configuration", func() error {
+		_, err := cl.hosts[0].operator.ApplyConfiguration(context.Background(), s)
 		return err
 	})
 }
 
 // eventually calls f until it succeeds, and fails the test after eventTimeout.
-func (r *cluster) eventually(what string, f func() error) {
-	r.t.Helper()
+func (cl *cluster) eventually(what string, f func() error) {
+	cl.t.Helper()
 	deadline := time.Now().Add(eventTimeout)
 	for {
 		err := f()
@@ -164,17 +164,17 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			r.t.Fatalf("%s: %v", what, err)
+			cl.t.Fatalf("%s: %v", what, err)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
 // waitForInstances waits until each entry host lists n instances.
-func (r *cluster) waitForInstances(n int) {
-	r.t.Helper()
-	for _, h := range r.hosts {
-		r.eventually("instances on "+h.settings.Name, func() error {
+func (cl *cluster) waitForInstances(n int) {
+	cl.t.Helper()
+	for _, h := range cl.hosts {
+		cl.eventually("instances on "+h.settings.Name, func() error {
 			if es := h.endpoints.all(); len(es) != n {
 				return fmt.Errorf("%d instances listed, want %d", len(es), n)
 			}
@@ -183,7 +183,7 @@
 	}
 }
 
-// answer is the answer to a caller's request.
+// answer holds the parts of an answer to a caller that the tests check.
 type answer struct {
 	status  int
 	outcome string
@@ -191,14 +191,15 @@
 	body    []byte
 }
 
-func (r *cluster) call(h *runningHost, token string) (answer, error) {
-	q, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s/services/quotes/x?token=%s", h.settings.CallerAddress, token), http.NoBody)
+// call sends a request whose executions are counted under token.
+func (cl *cluster) call(h *runningHost, token string) (answer, error) {
+	req, err := http.NewRequest(http.MethodPost, fmt.Sprintf("http://%s/services/quotes/x?token=%s", h.settings.CallerAddress, token), http.NoBody)
 	if err != nil {
 		return answer{}, err
 	}
-	q.Header.Set("Peridot-Tenant", "mill")
-	q.Header.Set("Peridot-Timeout", "5s")
-	a, err := http.DefaultClient.Do(q)
+	req.Header.Set("Peridot-Tenant", "mill")
+	req.Header.Set("Peridot-Timeout", "5s")
+	a, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return answer{}, err
 	}
@@ -207,18 +208,18 @@
 	return answer{a.StatusCode, a.Header.Get("Peridot-Outcome"), a.Header.Get("Peridot-Reason"), body}, err
 }
 
-func (r *cluster) submit(h *runningHost, name string, work time.Duration) {
-	r.t.Helper()
-	r.eventually("submit "+name, func() error {
+func (cl *cluster) submit(h *runningHost, name string, work time.Duration) {
+	cl.t.Helper()
+	cl.eventually("submit "+name, func() error {
 		_, err := h.operator.SubmitJob(context.Background(), scheduler.JobSpec{Name: name, Class: "die", Team: "mill", Duration: work})
 		return err
 	})
 }
 
-func (r *cluster) waitForJob(h *runningHost, name string, state scheduler.JobState) scheduler.JobStatus {
-	r.t.Helper()
+func (cl *cluster) waitForJob(h *runningHost, name string, state scheduler.JobState) scheduler.JobStatus {
+	cl.t.Helper()
 	var j scheduler.JobStatus
-	r.eventually("job "+name, func() error {
+	cl.eventually("job "+name, func() error {
 		var err error
 		if j, err = h.operator.ShowJob(context.Background(), name); err == nil && j.State != state {
 			err = fmt.Errorf("job is %s, want %s (%s)", j.State, state, j.Decision)
