--- a/internal/evaluator/evaluator_test.go
+++ b/internal/evaluator/evaluator_test.go
@@ -33,7 +33,7 @@
 	is.Equal(out[0].String(), out[1].String())
 }
 
-// targetRows returns the rows on which the tests below check the targets of section 1.7 of the
+// targetRows returns the rows on which tests below check targets of section 1.7 of the
 // design page. The runs are short, 1 virtual minute, because 2 virtual minutes of 8 scenarios take
 // 19 minutes of processor time with the race detector. A third of each firm's hosts takes part;
 // with a fifth, a failure domain has too few instances to choose among.
