--- a/internal/commandline/run.go
+++ b/internal/commandline/run.go
@@ -34,8 +34,7 @@
 // subcommand serve has read.
 type ServeFunc func(ctx context.Context, s loader.Settings) error
 
-// EntryFunc runs an entry host on the users' platform (packages coordinator and platform)
-// until ctx ends. path is the path of the settings file, which has the platform's format.
+// EntryFunc runs an entry host of packages coordinator and platform until ctx ends. path is the path of the settings file, which has the platform's format.
 type EntryFunc func(ctx context.Context, path string) error
 
 // Environment contains the streams, variables and functions that the process provides to a
@@ -46,7 +45,7 @@
 	Getenv func(string) string
 	Serve  ServeFunc // runs the subcommand serve
 	Entry  EntryFunc // runs the subcommand entry
-	// CheckEntry checks the settings file of an entry host on the users' platform.
+	// CheckEntry checks the settings file of the subcommand entry.
 	CheckEntry func(path string) error
 	// SettingsVariable is the environment variable with the default path of the settings
 	// file of the entry subcommand.
@@ -59,7 +58,7 @@
 	name      string // one or two words
 	arguments string // names of the arguments in the usage text
 	summary   string
-	remote    bool // sends a request to an entry host
+	remote    bool // sends a request to an entry host, or reads log files: see minLocalArguments
 	// With at least minLocalArguments arguments, a remote command reads log files instead of
 	// sending a request to an entry host; 0: it always sends a request.
 	minLocalArguments          int
--- a/internal/coordinator/doc.go
+++ b/internal/coordinator/doc.go
@@ -5,7 +5,8 @@
 // All persistent state is in the store:
 //
 //	peridot/lead/term      the current leader; written by elections and hand-overs only
-//	peridot/lead/head      rewritten by each write of the leader
+//	peridot/lead/head      rewritten by each write of the leader, so that other hosts see that it
+//	                       still writes
 //	peridot/roster         workers on which the leader may have started tasks
 //	peridot/learnt         workload statistics that the leader has collected
 //	peridot/in/job/ID      a submitted job, created if absent by the host that accepts it
@@ -18,7 +19,7 @@
 // revision of term is the epoch; workers use it as a fencing token for commands.
 //
 // The other hosts ping the leader. A host whose ping fails, or whose leader reports that
-// it has lost the store, polls head. If head does not change for the election timeout, the
+// it cannot reach the store, polls head. If head does not change for the election timeout, the
 // host campaigns by rewriting term. A working leader is therefore replaced only if it
 // neither answers pings nor writes to the store.
 //
--- a/internal/coordinator/election.go
+++ b/internal/coordinator/election.go
@@ -36,16 +36,16 @@
 	pingTimeout = 500 * time.Millisecond
 	// headPollInterval is the interval at which a host reads head after a failed ping.
 	headPollInterval = 150 * time.Millisecond
-	// refusedElectionTimeout is how long head must not have changed before a host campaigns,
-	// if the leader's host refuses connections. It is longer than headWriteInterval, to
-	// allow for a slow answer of the store.
+	// If the leader's host refuses connections, a host campaigns after head has stayed
+	// unchanged for refusedElectionTimeout. It is longer than headWriteInterval, to allow for
+	// a slow answer of the store.
 	refusedElectionTimeout = 500 * time.Millisecond
 	// silentElectionTimeout replaces refusedElectionTimeout if the leader does not answer,
-	// or reports that it has lost the store.
+	// or reports that it cannot reach the store.
 	silentElectionTimeout = 900 * time.Millisecond
-	// maxLeaderStoreSilence is the time since the store last served the leader after which
-	// a host that still reaches the store starts to poll head.
-	maxLeaderStoreSilence = 1500 * time.Millisecond
+	// maxLeaderStoreAnswerAge bounds the age of the leader's last answer from the store. If the
+	// leader reports a higher age, the other hosts poll head.
+	maxLeaderStoreAnswerAge = 1500 * time.Millisecond
 	// maxCampaignJitter spreads the campaigns of hosts that detect a failed leader at the
 	// same time.
 	maxCampaignJitter = 120 * time.Millisecond
@@ -84,8 +84,8 @@
 }
 
 // headObservation is the last revision of head that a host read after the leader failed a
-// check, and the time of the first read of that revision. The zero value means that head
-// was not read.
+// check, and the time of the first read of that revision. The revision
+// is 0 if head does not exist. The zero value means that head was not read.
 type headObservation struct {
 	revision uint64
 	since    time.Time
@@ -135,10 +135,10 @@
 			c.campaign(ctx, t, "the leader's process has ended")
 		}
 		return termRetryDelay
-	case err == nil && p.StoreSilence < maxLeaderStoreSilence:
+	case err == nil && p.StoreSilence < maxLeaderStoreAnswerAge:
 		*o = headObservation{}
 		return pingInterval
-	case errors.As(err, &notSent):
+	case errors.As(err, &notSent): // usually because the leader's host refused the connection
 		electionTimeout = refusedElectionTimeout
 	}
 	return c.checkHead(ctx, t, o, electionTimeout)
@@ -213,13 +213,13 @@
 }
 
 // campaign tries to make this host the leader. The election succeeds only if the stored term
-// is still the term after.
-func (c *Coordinator) campaign(ctx context.Context, after term, reason string) {
+// is still previous.
+func (c *Coordinator) campaign(ctx context.Context, previous term, reason string) {
 	if c.leaving.Load() {
 		return
 	}
 	pause := c.jitter(maxCampaignJitter)
-	if c.settings.ProcessorShare < minProcessorShareRatio*after.Share {
+	if c.settings.ProcessorShare < minProcessorShareRatio*previous.Share {
 		pause += campaignYieldDelay
 	}
 	sleep(ctx, pause)
@@ -231,18 +231,18 @@
 	}
 	sent := timekeeper.Now()
 	revision, err := c.store.Commit(ctx, storer.Transaction{
-		Conditions: []storer.Condition{{Key: keyTerm, Revision: after.Revision}},
+		Conditions: []storer.Condition{{Key: keyTerm, Revision: previous.Revision}},
 		Puts:       []storer.Entry{{Key: keyTerm, Value: value}, {Key: keyHead, Value: []byte(c.processID)}},
 	})
 	if err != nil {
-		c.log.Info("ElectionLost", "Epoch", after.Revision, "Reason", reason, "Cause", err.Error())
+		c.log.Info("ElectionLost", "Epoch", previous.Revision, "Reason", reason, "Cause", err.Error())
 		if _, err := c.readTerm(ctx); err != nil {
 			c.log.Warn("TermNotRead", "Cause", err.Error())
 		}
 		return
 	}
 	next.Revision = revision
-	c.log.Info("ElectionWon", "Epoch", revision, "After", after.Revision, "LastLeader", after.Host, "HandedOff", after.HandedOff, "Reason", reason)
+	c.log.Info("ElectionWon", "Epoch", revision, "After", previous.Revision, "LastLeader", previous.Host, "HandedOff", previous.HandedOff, "Reason", reason)
 	c.metrics.electionsWon.Inc()
-	c.startLeadership(ctx, next, after.HandedOff, sent)
+	c.startLeadership(ctx, next, previous.HandedOff, sent)
 }
--- a/internal/coordinator/store_health_test.go
+++ b/internal/coordinator/store_health_test.go
@@ -37,9 +37,9 @@
 	c.leadership = ld
 	a, err := c.servePing(context.Background(), pingRequest{})
 	is.NoErr(err)
-	is.True(a.Leading && a.StoreSilence < maxLeaderStoreSilence)
-	ld.lastConfirmedSent.Store(timekeeper.Now().Add(-maxLeaderStoreSilence).UnixNano())
+	is.True(a.Leading && a.StoreSilence < maxLeaderStoreAnswerAge)
+	ld.lastConfirmedSent.Store(timekeeper.Now().Add(-maxLeaderStoreAnswerAge).UnixNano())
 	a, err = c.servePing(context.Background(), pingRequest{})
 	is.NoErr(err)
-	is.True(a.StoreSilence >= maxLeaderStoreSilence)
+	is.True(a.StoreSilence >= maxLeaderStoreAnswerAge)
 }
--- a/internal/harness/process.go
+++ b/internal/harness/process.go
@@ -273,7 +273,7 @@
 
 // Ports of tests are below the kernel's ephemeral port range. The kernel assigns ports of that
 // range to connections and to listeners on port 0, so another process could get such a port
-// between its selection by FreeAddresses and its use.
+// between its selection by FreeAddresses and its use. The blocks are the ports 10000 to 26999.
 const (
 	firstPort      = 10000
 	portBlockCount = 170
--- a/internal/limiter/main_test.go
+++ b/internal/limiter/main_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestMain fixes the seed of the property-based tests (pgregory.net/rapid), so that every run
-// of CI tests the same inputs, and no file with the failing input is written. Another seed
+// of CI tests the same inputs. It also turns off the file with the failing input. Another seed
 // can be given with -rapid.seed; failing inputs are then written to a file.
 func TestMain(m *testing.M) {
 	flag.Parse()
--- a/internal/orchestrator/interference.go
+++ b/internal/orchestrator/interference.go
@@ -31,13 +31,13 @@
 	// coefficientMargin is added to each coefficient before a best-effort task starts, because
 	// small errors of many such tasks on one worker add up.
 	coefficientMargin = 0.08
-	// baseBudget is the utilization that best-effort tasks may add, unless own load and
-	// maxOwnLoadRise leave less below utilizationNearTarget.
+	// baseBudget is the utilization that best-effort tasks may add, unless the difference
+	// utilizationNearTarget - maxOwnLoadRise - own load is smaller.
 	baseBudget = 0.06
-	// lowOwnLoad is the sum of own load and added utilization up to which best-effort tasks may
+	// lowTotalUtilization is the sum of own load and added utilization up to which best-effort tasks may
 	// add more than baseBudget, but at most maxBudget. When the own load rises, the tasks are
 	// throttled.
-	lowOwnLoad = 0.60
+	lowTotalUtilization = 0.60
 	// maxBudget is the most utilization that best-effort tasks may add at a low own load.
 	maxBudget = 0.16
 	// initialCoefficient is the coefficient of pairs of images without samples. It lies between
@@ -55,7 +55,7 @@
 	// samples never lose their effect.
 	varianceDrift = 0.0002
 	// maxBestEffortImages bounds the best-effort images with an estimate of their own for one
-	// latency-critical image, and so the memory. Further images share one estimate.
+	// latency-critical image, which limits the memory used. Further images share one estimate.
 	maxBestEffortImages = 64
 	// meanLoadWeight is the weight of one sample in an image's mean own load.
 	meanLoadWeight = 0.02
@@ -131,8 +131,8 @@
 }
 
 // utilization returns the utilization at which the model gives a tail latency. tailRatio is
-// the tail latency as a share of the latency target; a new lowest one becomes that of an idle
-// task.
+// the tail latency as a share of the latency target. If tailRatio is the lowest so far,
+// utilization also stores it as the idle tail ratio of the image.
 func (m interferenceModel) utilization(critical string, tailRatio float64) float64 {
 	idle := m.idleTailRatio(critical)
 	if tailRatio < idle {
@@ -157,7 +157,8 @@
 // updateCoefficients distributes the residual of a prediction over the coefficients of the
 // best-effort images beside a task of a latency-critical image. It is a Kalman filter whose
 // state is the coefficients of that latency-critical image. If best-effort images always run
-// together, samples do not tell their coefficients apart; the covariances keep this.
+// together, samples show only the sum of their effects. The covariances record that the single
+// coefficients are uncertain.
 func (m interferenceModel) updateCoefficients(critical string, loads map[string]float64, residual float64) {
 	present := make(map[string]float64, len(loads))
 	for image, load := range loads {
@@ -236,7 +237,9 @@
 			continue
 		}
 		image := r.task.step.Image
-		left := min(max(baseBudget, lowOwnLoad-r.ownLoad), maxBudget, utilizationNearTarget-maxOwnLoadRise-r.ownLoad) - o.interference.addedUtilization(image, loads) - coefficientMargin*total
+		// The allowed addition, less the predicted addition of the present best-effort tasks and
+		// a margin for the errors of their coefficients.
+		left := min(max(baseBudget, lowTotalUtilization-r.ownLoad), maxBudget, utilizationNearTarget-maxOwnLoadRise-r.ownLoad) - o.interference.addedUtilization(image, loads) - coefficientMargin*total
 		if i := slices.IndexFunc(w.headrooms, func(h headroom) bool { return h.image == image }); i >= 0 {
 			w.headrooms[i].utilization = min(w.headrooms[i].utilization, left)
 			continue
@@ -248,7 +251,8 @@
 
 // updateInterference updates the model and the own loads with the tail latencies from a poll
 // of a worker, unless its best-effort tasks have changed within measurementDelay. The Figure
-// of a latency-critical run is its tail latency in ms.
+// of a latency-critical run is its tail latency in ms, 0 if unknown; the tailRatio of the run
+// is computed from it.
 func (o *Orchestrator) updateInterference(w *worker, rows []RunningRun) {
 	if w.load.latencyCritical == 0 {
 		return
@@ -273,7 +277,8 @@
 
 // headroomWith returns the utilization that best-effort tasks may still add on a worker
 // after a task of the step has started there too. It is the lowest value over the worker's
-// latency-critical images; below 0, a tail latency is predicted to come near its target.
+// latency-critical images, and at most baseBudget. Below 0, a tail latency is predicted to come
+// near its target.
 func (o *Orchestrator) headroomWith(s *step, w *worker) float64 {
 	left := baseBudget
 	load := w.bestEffortLoad(s.Step, 100)
@@ -319,7 +324,7 @@
 	speed := 1.0
 	load := w.bestEffortLoad(s.Step, 100)
 	for _, h := range o.headrooms(w) {
-		if add := o.interference.pair(h.image, s.Image).coefficient * load; add > negligibleUtilization && add > h.utilization {
+		if add := o.interference.pair(h.image, s.Image).coefficient * load; add > minThrottledUtilization && add > h.utilization {
 			speed = min(speed, h.utilization/add)
 		}
 	}
--- a/internal/orchestrator/orchestrator.go
+++ b/internal/orchestrator/orchestrator.go
@@ -64,7 +64,7 @@
 	loadNotedAt      time.Time       // when noteLoad last ran
 	lastPassAt       time.Time       // of the last scheduling pass
 	scoreOffset      int             // index of the worker at which choose begins if it scores only some of the workers
-	deposed          bool            // a later leader exists
+	steppedDown      bool            // a later leader exists
 	leaving          bool            // this leader hands over
 	wallOffset       time.Duration   // WallOffset of the last Tick
 }
@@ -208,7 +208,7 @@
 	if o.leaving {
 		return nil
 	}
-	if o.passDue && o.inheritedApplied && !o.deposed && o.now.Sub(o.lastPassAt) >= o.passPause() {
+	if o.passDue && o.inheritedApplied && !o.steppedDown && o.now.Sub(o.lastPassAt) >= o.passPause() {
 		o.passDue, o.lastPassAt = false, o.now
 		o.schedule()
 	}
@@ -245,8 +245,8 @@
 
 // stepDown ends the leadership because a later leader exists.
 func (o *Orchestrator) stepDown(reason string) {
-	if !o.deposed {
-		o.deposed = true
+	if !o.steppedDown {
+		o.steppedDown = true
 		o.emit(StepDown{Reason: reason})
 	}
 }
@@ -316,15 +316,15 @@
 	}
 	for _, r := range e.Roster.Workers {
 		w := o.worker(r.ID)
-		w.Service, w.idle = r.Service, r.Idle
+		w.Service, w.provenIdle = r.Service, r.Idle
 		w.Address = parseAddress(r.Address)
 		w.rostered = true
-		if !w.idle {
+		if !w.provenIdle {
 			w.mayRunInheritedTasks = true
 			w.leasesEnd = o.settings.ElectedAt.Add(maxLeaseTime(o.settings.LeaderLease))
 		}
-		if !w.polled && w.Address.IsValid() {
-			w.polled = true
+		if !w.pollingRequested && w.Address.IsValid() {
+			w.pollingRequested = true
 			o.emit(StartPolling{Worker: w.WorkerEntry})
 		}
 	}
--- a/internal/orchestrator/queue.go
+++ b/internal/orchestrator/queue.go
@@ -21,7 +21,7 @@
 	o.lightlyLoaded = o.updateLoad()
 	p := &pass{candidates: make(map[string][]*worker), reasons: make(map[string]string), unplaced: make(map[string]Resources)}
 	for _, w := range o.workersByID() {
-		if w.mayRunInheritedTasks && !w.runsKnown && !w.idle {
+		if w.mayRunInheritedTasks && !w.runsKnown && !w.provenIdle {
 			p.unreached = append(p.unreached, w)
 		}
 	}
--- a/internal/orchestrator/run.go
+++ b/internal/orchestrator/run.go
@@ -546,8 +546,8 @@
 		b.Roster, b.rosterVersion = &Roster{}, o.rosterVersion
 		for _, id := range slices.Sorted(maps.Keys(o.workers)) {
 			w := o.workers[id]
-			b.Roster.Workers = append(b.Roster.Workers, RosterEntry{ID: id, Service: w.Service, Address: w.Address.String(), Idle: w.idle})
-			if !w.idle {
+			b.Roster.Workers = append(b.Roster.Workers, RosterEntry{ID: id, Service: w.Service, Address: w.Address.String(), Idle: w.provenIdle})
+			if !w.provenIdle {
 				b.enrolled = append(b.enrolled, id)
 			}
 		}
@@ -589,7 +589,7 @@
 	if b.Roster != nil {
 		o.rosterWritten = max(o.rosterWritten, b.rosterVersion)
 		for _, id := range b.enrolled {
-			if w := o.workers[id]; w != nil && !w.idle {
+			if w := o.workers[id]; w != nil && !w.provenIdle {
 				w.rostered, w.rosterPending = true, false
 			}
 		}
--- a/internal/orchestrator/throttle.go
+++ b/internal/orchestrator/throttle.go
@@ -27,9 +27,9 @@
 	// A best-effort task is throttled for a latency-critical one only if it adds at least
 	// minContributionShare of the utilization that all best-effort tasks together add to it.
 	minContributionShare = 0.15
-	// negligibleUtilization is the added utilization below which a best-effort task is not
+	// minThrottledUtilization is the added utilization below which a best-effort task is not
 	// throttled.
-	negligibleUtilization = 0.01
+	minThrottledUtilization = 0.01
 	// maxSpeedIncrease is how much a speed limit may rise in one change, in percent of the
 	// full speed.
 	maxSpeedIncrease = 40
@@ -134,7 +134,7 @@
 		image := r.task.step.Image
 		total := o.interference.addedUtilization(image, full)
 		part := o.interference.pair(image, bestEffort.task.step.Image).coefficient * w.bestEffortLoad(bestEffort.task.step.Step, 100)
-		if part < minContributionShare*total || part < negligibleUtilization {
+		if part < minContributionShare*total || part < minThrottledUtilization {
 			continue
 		}
 		own := o.interference.utilization(image, r.tailRatio) - o.interference.addedUtilization(image, current)
--- a/internal/orchestrator/worker.go
+++ b/internal/orchestrator/worker.go
@@ -35,22 +35,22 @@
 	WorkerEntry
 	listed               bool      // discovery lists the worker
 	unlistedAt           time.Time // when its discovery entry was removed
-	polled               bool      // a StartPolling for its address has been emitted
+	pollingRequested     bool      // a StartPolling for its address has been emitted
 	rosterPending        bool      // its changed roster entry is not in the store yet
 	rostered             bool      // the roster in the store lists it as a worker that may run tasks
-	idle                 bool      // no run of any leader can be on it
+	provenIdle           bool      // no run of any leader can be on it
 	mayRunInheritedTasks bool      // an earlier leader may have started tasks on it, and it has not answered this leader yet
 	runsKnown            bool      // its runs are known: it has answered this leader, or every lease of an earlier leader has ended
 
-	incarnation  int64
-	clock        time.Duration // the worker's clock at clockAt
-	clockAt      time.Time
-	hasClock     bool
-	leasesEnd    time.Time // latest end of the leases that have been sent to it
-	pollSentAt   time.Time // when the last answered poll was sent
-	answeredAt   time.Time // when the answer to that poll arrived
-	unreachable  bool      // the last poll failed
-	unansweredAt time.Time // when a start or stop last got no answer
+	incarnation        int64
+	clock              time.Duration // the worker's clock at clockAt
+	clockAt            time.Time
+	hasClock           bool
+	leasesEnd          time.Time // latest end of the leases that have been sent to it
+	answeredPollSentAt time.Time // when the last answered poll was sent
+	answeredAt         time.Time // when the answer to that poll arrived
+	unreachable        bool      // the last poll failed
+	unansweredAt       time.Time // when a start or stop last got no answer
 
 	runs map[runKey]*run
 	used Resources // resources of its runs, without the processors of best-effort tasks
@@ -61,9 +61,9 @@
 
 	unknownRuns int // runs that the worker lists and the leader stops; their size is unknown
 
-	lastAppliedEnd int // highest number of an applied end
+	lastAppliedEnd int // number of the last reported end of a run that has been applied (see appliedEnd)
 	unackedEnds    []appliedEnd
-	ackedUpto      int // ends up to this number are in the store
+	ackedUpto      int // ends up to this number may be acknowledged, because their records are in the store
 
 	failureStreak    int // failed runs in a row
 	lastFailedJob    string
@@ -112,7 +112,7 @@
 func (o *Orchestrator) worker(id string) *worker {
 	w := o.workers[id]
 	if w == nil {
-		w = &worker{WorkerEntry: WorkerEntry{ID: id}, idle: true, runs: make(map[runKey]*run), minSpeed: 100, slowdown: 1}
+		w = &worker{WorkerEntry: WorkerEntry{ID: id}, provenIdle: true, runs: make(map[runKey]*run), minSpeed: 100, slowdown: 1}
 		o.workers[id] = w
 		o.sortedWorkers = nil
 	}
@@ -151,11 +151,11 @@
 	}
 	moved := w.Address != e.Address
 	w.WorkerEntry, w.listed = e, true
-	if !w.polled || moved {
-		w.polled = true
+	if !w.pollingRequested || moved {
+		w.pollingRequested = true
 		o.emit(StartPolling{Worker: e})
 	}
-	o.enroll(w)
+	o.requestRosterEntry(w)
 	o.passDue = true
 }
 
@@ -166,21 +166,21 @@
 	return "ready"
 }
 
-// enroll requests the write of a worker's roster entry. The worker gets no starts before the
-// entry is in the store.
-func (o *Orchestrator) enroll(w *worker) {
-	if w.rosterPending || w.rostered && !w.idle || w.Draining {
+// requestRosterEntry requests the write of a worker's roster entry. It clears provenIdle, and the
+// worker gets no starts before the entry is in the store.
+func (o *Orchestrator) requestRosterEntry(w *worker) {
+	if w.rosterPending || w.rostered && !w.provenIdle || w.Draining {
 		return
 	}
-	w.idle, w.rostered, w.rosterPending = false, false, true
+	w.provenIdle, w.rostered, w.rosterPending = false, false, true
 	o.rosterVersion++
 	o.emit(WriteSoon{})
 }
 
 // markIdle marks in the roster that no run of any leader can be on a worker.
 func (o *Orchestrator) markIdle(w *worker) {
-	if !w.idle {
-		w.idle, w.rostered, w.rosterPending = true, false, false
+	if !w.provenIdle {
+		w.provenIdle, w.rostered, w.rosterPending = true, false, false
 		o.rosterVersion++
 	}
 }
@@ -205,7 +205,7 @@
 // not be polled any more.
 func (o *Orchestrator) NextPoll(id string, now time.Time) (PollRequest, bool) {
 	w := o.workers[id]
-	if w == nil || o.deposed || o.leaving {
+	if w == nil || o.steppedDown || o.leaving {
 		return PollRequest{}, false
 	}
 	o.now = now
@@ -231,15 +231,15 @@
 	if !w.hasClock || lease < minLease {
 		return 0, false
 	}
-	d := w.clock + o.now.Sub(w.clockAt) + lease
-	if end := w.clockAt.Add(maxLeaseTime(d - w.clock)); end.After(w.leasesEnd) {
+	leaseEnd := w.clock + o.now.Sub(w.clockAt) + lease
+	if end := w.clockAt.Add(maxLeaseTime(leaseEnd - w.clock)); end.After(w.leasesEnd) {
 		w.leasesEnd = end
 	}
-	return d.Truncate(time.Millisecond), true
+	return leaseEnd.Truncate(time.Millisecond), true
 }
 
-// usable reports whether a worker may get new work. If not, it also returns the reason that is
-// noted for a step that finds no usable worker.
+// usable reports whether a worker may get new work. If not, it also returns a reason, which is
+// the reason for the waiting of a step that finds no usable worker.
 func (o *Orchestrator) usable(w *worker) (bool, string) {
 	switch {
 	case !w.listed && o.now.Sub(w.unlistedAt) > unlistedGrace:
@@ -248,7 +248,7 @@
 		return false, "no worker is usable; the last one checked is draining"
 	case !w.runsKnown || !w.hasClock:
 		return false, "no worker is usable; the last one checked has not answered this leader yet"
-	case w.unreachable || w.unansweredAt.After(w.pollSentAt):
+	case w.unreachable || w.unansweredAt.After(w.answeredPollSentAt):
 		return false, "no worker is usable; the last one checked does not answer"
 	case !w.rostered:
 		return false, "no worker is usable; the last one checked has no roster entry in the store yet"
@@ -264,8 +264,10 @@
 
 func (o *Orchestrator) pollAnswered(e PollAnswered) {
 	w := o.workers[e.Worker]
-	if w == nil || !o.inheritedApplied || e.SentAt.Before(w.pollSentAt) {
-		return // before the jobs are inherited, ends of their runs would be acknowledged and runs stopped
+	if w == nil || !o.inheritedApplied || e.SentAt.Before(w.answeredPollSentAt) {
+		// Before the inherited jobs are applied, the leader would acknowledge the ends of their
+		// runs and stop the runs that are still active.
+		return
 	}
 	if w.incarnation != 0 && w.incarnation != e.Incarnation {
 		o.workerRestarted(w, e)
@@ -278,7 +280,7 @@
 		o.passDue = true
 	}
 	w.incarnation, w.clock, w.clockAt, w.hasClock = e.Incarnation, e.Clock, e.ReceivedAt, true
-	w.pollSentAt, w.answeredAt, w.unreachable = e.SentAt, e.ReceivedAt, false
+	w.answeredPollSentAt, w.answeredAt, w.unreachable = e.SentAt, e.ReceivedAt, false
 	if e.DrainRemaining > 0 {
 		w.drainRemaining, w.drainRemainingAt = e.DrainRemaining, o.now
 	}
@@ -333,8 +335,8 @@
 	}
 	w.lastAppliedEnd, w.ackedUpto, w.unackedEnds = 0, 0, nil
 	w.failureStreak, w.quarantinedUntil, w.probing, w.probe, w.slowdown = 0, time.Time{}, false, nil, 1
-	// The clock of the new incarnation starts at 0, so that a start with a lease end on the old
-	// clock may get the longest lease, MaxLease.
+	// The clock of the new incarnation starts at 0. A start that was sent with a lease end on the
+	// old clock can therefore get a lease of up to MaxLease.
 	w.leasesEnd = o.now.Add(maxLeaseTime(o.settings.MaxLease))
 }
 
@@ -403,14 +405,14 @@
 	unreachable := w.unreachable || !w.hasClock
 	// A later leader may have reached the worker and extended its leases. The leases have
 	// certainly ended only if this leader was confirmed after their end.
-	if unreachable && !w.idle && o.now.After(w.leasesEnd) && o.confirmedAt.After(w.leasesEnd) {
+	if unreachable && !w.provenIdle && o.now.After(w.leasesEnd) && o.confirmedAt.After(w.leasesEnd) {
 		if len(w.runs) > 0 || w.mayRunInheritedTasks {
 			o.emit(Note{Event: EventWorkerLost, Worker: w.ID, Outcome: "leases ended", Age: o.timeSinceAnswer(w),
 				Figures: fmt.Sprintf("Runs=%d", len(w.runs))})
 		}
 		o.workerEnded(w)
 	}
-	if unreachable && w.idle && !w.listed && o.now.Sub(w.unlistedAt) > unlistedGrace {
+	if unreachable && w.provenIdle && !w.listed && o.now.Sub(w.unlistedAt) > unlistedGrace {
 		delete(o.workers, w.ID)
 		o.sortedWorkers = nil
 		o.rosterVersion++
@@ -422,7 +424,7 @@
 		// The worker gets no more starts, and the next leader need not wait for its leases.
 		o.markIdle(w)
 	case !unreachable && w.listed:
-		o.enroll(w)
+		o.requestRosterEntry(w)
 	}
 	if w.Draining {
 		o.evacuate(w)
--- a/internal/placer/baseline.go
+++ b/internal/placer/baseline.go
@@ -32,8 +32,9 @@
 	return s.t.Spread != "" && s.p.workerSummaries[i].groupMembers(s.t.Spread) > 0
 }
 
-// bestFit chooses a worker among those where the task fits: the one with the smallest sum of the
-// shares of cores and of memory that the declared sizes of its assigned tasks leave free.
+// bestFit chooses, among the workers where the task fits, the one with the least free capacity:
+// the free share of cores plus the free share of memory, by the declared sizes of its assigned
+// tasks.
 func (s *search) bestFit() int {
 	s.rule = RuleBestFit
 	for i := range s.ws {
@@ -71,7 +72,8 @@
 	return free, true
 }
 
-// baseline reports whether the placement policy is FirstFit or BestFit.
+// baseline reports whether the placement policy is FirstFit or BestFit. These are baselines
+// for comparison, without the interference model.
 func (p *Placer) baseline() bool {
 	return p.policy.Placement == configurator.PlacementFirstFit || p.policy.Placement == configurator.PlacementBestFit
 }
--- a/internal/placer/bench_test.go
+++ b/internal/placer/bench_test.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// BenchmarkPreempt measures a call of Place for an urgent task while batch tasks fill all workers.
+// BenchmarkPreempt measures a call of Place for an urgent task while no worker has a
+// free core.
 func BenchmarkPreempt(b *testing.B) {
 	for _, n := range []int{165, 990} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -97,7 +98,7 @@
 	p, ws := newPlacer(benchPolicy()), benchFleet(165)
 	task := batchTask("new", 1)
 	p.Place(task, ws, testStart)
-	const bound = 4 // a few, for the candidates and the decision
+	const bound = 4 // for the list of candidates and the decision, with any number of workers
 	if n := testing.AllocsPerRun(100, func() { p.Place(task, ws, testStart) }); n > bound {
 		t.Errorf("Place made %.0f allocations, want at most %d", n, bound)
 	}
--- a/internal/placer/mitigation.go
+++ b/internal/placer/mitigation.go
@@ -390,7 +390,7 @@
 		}
 		t.released = now
 		p.mitigation.lastActions[w.Name] = now
-		return Throttle{Worker: w.Name, Task: r.Name, Limit: next, Rule: RulePressureGone, Cause: fmt.Sprintf("no service of the worker is above %.2f of its bound", maxPressureBeforeRelease)}
+		return Throttle{Worker: w.Name, Task: r.Name, Limit: next, Rule: RuleInterferenceEnded, Cause: fmt.Sprintf("no service of the worker is above %.2f of its bound", maxPressureBeforeRelease)}
 	}
 	return nil
 }
--- a/internal/placer/mitigation_test.go
+++ b/internal/placer/mitigation_test.go
@@ -66,7 +66,8 @@
 }
 
 // TestMitigationOrder guards against an action on a harmless neighbour, a second action on a worker
-// without a newer report, and a task being moved before it is throttled.
+// without a newer report, and a task that is checkpointed before it is
+// throttled.
 func TestMitigationOrder(t *testing.T) {
 	is := is.New(t)
 	p := newPlacer(Policy{SlowdownBound: 1.3})
@@ -98,7 +99,7 @@
 		}
 		now = now.Add(time.Second)
 		f.report(now)
-		f.AssignedTasks[0].Slowdown = 1.5 // stays degraded
+		f.AssignedTasks[0].Slowdown = 1.5 // the service stays above SlowdownBound
 	}
 	is.Equal(kinds, []string{"throttle", "throttle", "checkpoint", "checkpoint"})
 	is.True(stops > 0)                    // the checkpoints never complete
@@ -147,7 +148,7 @@
 			f.apply(out, now.Add(time.Second))
 			for _, a := range out {
 				actions++
-				if th, ok := a.(Throttle); ok && th.Rule == RulePressureGone {
+				if th, ok := a.(Throttle); ok && th.Rule == RuleInterferenceEnded {
 					releases++
 				}
 			}
@@ -157,7 +158,7 @@
 	is.True(f.AssignedTasks[0].Slowdown < 1.35)
 	is.True(actions <= 10)
 	f.noisySlowdown = 0.1
-	p.estimator = newEstimator() // as if newer reports had shown the class to be harmless
+	p.estimator = newEstimator() // has no samples of the class's interference
 	run(20 * time.Minute)
 	is.Equal(limitOf(&f.AssignedTasks[1]), 1.0)
 	is.Equal(limitOf(&f.AssignedTasks[2]), 1.0)
--- a/internal/placer/types.go
+++ b/internal/placer/types.go
@@ -92,11 +92,11 @@
 	RuleVictimsStopping Rule = "VictimsStillStopping"
 	RuleNoWorker        Rule = "NoWorkerKnown"
 
-	RuleThrottle     Rule = "ThrottleCheapestNeighbour"
-	RuleMove         Rule = "MoveCheapestNeighbour"
-	RuleStop         Rule = "StopCheapestNeighbour"
-	RulePressureGone Rule = "PressureGone"
-	RuleOverCapacity Rule = "MeasuredOverCapacity"
+	RuleThrottle          Rule = "ThrottleCheapestNeighbour"
+	RuleMove              Rule = "MoveCheapestNeighbour"
+	RuleStop              Rule = "StopCheapestNeighbour"
+	RuleInterferenceEnded Rule = "PressureGone"
+	RuleOverCapacity      Rule = "MeasuredOverCapacity"
 )
 
 // Candidate is a worker or a task that a decision considered, with the figures at that time.
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -21,12 +21,12 @@
 	KindUnschedulable Kind = "never"      // a job can never run as declared or has failed too often
 	KindPreempt       Kind = "preempt"    // tasks are chosen as victims for an urgent task or a service instance
 	KindEvict         Kind = "evict"      // a batch task is evicted from its worker
-	KindThrottle      Kind = "throttle"   // the limit of a batch task changes, also when a throttle is released
+	KindThrottle      Kind = "throttle"   // the processor limit of a batch task changes, also when a throttle is released
 	KindRelease       Kind = "release"    // no decision has this kind at present
 	KindMove          Kind = "move"       // no decision has this kind at present
 	KindStop          Kind = "stop"       // no decision has this kind at present
-	KindRefuse        Kind = "refuse"     // a request ends without being sent, or a worker refuses a start or an owner with a lower epoch
-	KindRetry         Kind = "retry"      // a job becomes pending again after a lost or ended run, or a failed request is retried or not
+	KindRefuse        Kind = "refuse"     // a request ends unsent, a worker refuses a start, or a worker refuses an owner whose epoch is too low
+	KindRetry         Kind = "retry"      // a job becomes pending again after a lost or ended run, or whether a failed request is retried is decided
 	KindRoute         Kind = "route"      // a request is sent to a service instance
 	KindClaim         Kind = "claim"      // the owner of a shard changes, or its jobs are imported
 	KindAdopt         Kind = "adopt"      // a worker accepts the owner's epoch, or a task started by an earlier owner is found
@@ -84,12 +84,13 @@
 type Options struct {
 	MaxRecords int
 	MaxBytes   int64
-	// MaxReasons limits the number of rules that are values of the counter's reason label.
+	// MaxReasons limits the number of rules in the counter's reason label.
 	MaxReasons int
 }
 
 // Defaults of Options. A record takes at least recordBytes (512), so that at 500 decisions per
-// second 16 MiB hold at most the decisions of about one minute. The latest decision about an
+// second 16 MiB hold at most the decisions of about one minute; DefaultMaxBytes is reached before
+// DefaultMaxRecords. The latest decision about an
 // unfinished job is also in the journal of its shard.
 const (
 	DefaultMaxRecords = 40_000
@@ -256,7 +257,7 @@
 	return out
 }
 
-// Len returns the number of stored records and their estimated size in bytes.
+// Len returns the number of stored records, and their estimated size in bytes.
 func (r *Recorder) Len() (records int, bytes int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/router/main_test.go
+++ b/internal/router/main_test.go
@@ -10,7 +10,7 @@
 
 // TestMain fixes the seed of the property-based tests (pgregory.net/rapid), so that every run
 // of CI tests the same inputs. It also sets the numbers of checks and of steps per check, and
-// no file with the failing input is written. Another seed can be given with -rapid.seed; the
+// turns off the file with the failing input. Another seed can be given with -rapid.seed; the
 // other settings then keep rapid's defaults or the values of their flags.
 func TestMain(m *testing.M) {
 	flag.Parse()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -21,8 +21,8 @@
 	random     *rand.Rand
 	hostCounts hostCountHistory
 	// holdUntil is the time until which this host uses no slots: the later of
-	// settings.HoldUntil and the end of ShareDelay after a first membership that is not
-	// settled.
+	// settings.HoldUntil and, if Settled was false in the first Membership, the end of
+	// ShareDelay after it.
 	holdUntil     time.Time
 	hasMembership bool
 	instances     map[string]*instance
@@ -36,8 +36,8 @@
 	nextIndex       int         // next position of the policy RoundRobin
 	waitingRequests int
 	typicalLatency  time.Duration // lower quartile of the latency estimates
-	assessedAt      time.Time     // when typicalLatency and the ejections were computed
-	probeCredit     float64       // part of the next probe that has been earned, at most 1: each request earns maxProbeFraction
+	assessedAt      time.Time     // when typicalLatency and the set of ejected (slow or failing) instances were computed
+	probeCredit     float64       // fraction of a probe of an ejected instance that is due, at most 1; each request adds maxProbeFraction
 }
 
 // New returns a router without instances. The random source must be seeded by the
@@ -60,7 +60,8 @@
 func (r *Router) SetPolicy(p configurator.RoutingPolicy) { r.settings.Policy = p }
 
 // HoldUntil keeps this host's share of all instances at zero until the given time, unless it is
-// already kept at zero for longer.
+// already kept at zero for longer. A settled Membership does not end this time early, because it
+// is stored in the settings too.
 func (r *Router) HoldUntil(until time.Time) {
 	if until.After(r.holdUntil) {
 		r.holdUntil = until
@@ -141,7 +142,7 @@
 }
 
 // ApplyGrant applies a grant that the given peer, the owner of the instance's shard, sent in
-// answer to the demand of time sentAt. It ignores a grant in answer to an earlier demand,
+// answer to the demand that was sent at sentAt. It ignores a grant in answer to an earlier demand,
 // because the peer's Allocator now counts only the slots that the latest demand reported. It
 // also ignores a grant of an earlier epoch, because the current owner does not count its
 // slots.
@@ -258,9 +259,10 @@
 		in.lastFailureAt = now
 	case OutcomeAbandoned:
 		in.abandonedUntil = append(in.abandonedUntil, q.deadline.Add(AbandonMargin))
-		in.addLatencySample(now.Sub(q.pickedAt), now)
+		in.addLatencySample(now.Sub(q.pickedAt), now) // the latency is at least this long
 	}
 	if o.SlotsUsed >= 0 && (o.Kind == OutcomeAnswered || o.Kind == OutcomeNotRun) {
+		// The reported number includes this request and the others of this host.
 		in.reportedLoad = reportedLoad{slotsUsedByOthers: max(0, o.SlotsUsed-1-len(in.inFlight)), reportedAt: now}
 	}
 	if !in.listed && in.usedSlots(now) == 0 {
@@ -277,7 +279,8 @@
 
 // Demand returns the slots that this host uses and wants, for a heartbeat to the given
 // peer. It lists only instances whose latest grant, possibly of zero slots, came from that
-// peer. InUse includes granted slots that are free, because this host may still use them.
+// peer, but records the time of the demand for all instances, because ApplyGrant compares
+// times by peer. InUse includes granted slots that are free, because this host may still use them.
 func (r *Router) Demand(to string, now time.Time) []messenger.SlotDemand {
 	var demands []messenger.SlotDemand
 	for _, name := range sortedKeys(r.instances) {
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -6,12 +6,12 @@
 	"peridotpitch/internal/configurator"
 )
 
-// JobState is the state of a job.
+// JobState is the stage of a job between its submission and one of the final states.
 type JobState string
 
 // Job states. The values are stored, so their two spellings of canceling and cancelled stay.
-// A rejected job can never run; its last decision names the reason and the nearest size that
-// would fit.
+// A rejected job can never run; its last decision names the reason and the size nearest to
+// the declared one that would fit.
 const (
 	JobPending   JobState = "pending"
 	JobStarting  JobState = "starting"
--- a/internal/shardowner/claim.go
+++ b/internal/shardowner/claim.go
@@ -168,7 +168,7 @@
 func (p *Owner) selectClaims(now time.Time) []string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.config == nil || p.stopping {
+	if p.config == nil || p.released {
 		return nil
 	}
 	var names []string
--- a/internal/shardowner/fake_test.go
+++ b/internal/shardowner/fake_test.go
@@ -47,7 +47,7 @@
 }
 
 // recordedClaim is a claim of shard a/0, with the time when it was sent and the time of the
-// first heartbeat in which its host claimed the shard in that epoch.
+// first heartbeat that reports its host as the owner in that epoch.
 type recordedClaim struct {
 	host               string
 	epoch              uint64
@@ -85,7 +85,7 @@
 	f()
 }
 
-// setPartitioned cuts or restores the messages between two hosts in both directions.
+// setPartitioned blocks or unblocks the messages between two hosts in both directions.
 func (cl *cluster) setPartitioned(a, b string, cut bool) {
 	cl.locked(func() { cl.cutLinks[a+">"+b], cl.cutLinks[b+">"+a] = cut, cut })
 }
@@ -104,7 +104,7 @@
 	}
 }
 
-// setIsolated cuts or restores the messages between each of the named hosts or workers and
+// setIsolated blocks or unblocks the messages between each of the named hosts or workers and
 // all others, including the store. Messages to and from the entry hosts and workers of failure
 // domain exceptDomain stay unchanged, unless it is "".
 func (cl *cluster) setIsolated(names []string, exceptDomain string, cut bool) {
@@ -223,8 +223,8 @@
 }
 
 // recordActing records that a host acts as the owner of a shard. If the store holds no claim of
-// that host and epoch, it records an additional one, which makes the history of claims
-// invalid.
+// that host and epoch, it records an additional one, so that the check of the claims
+// in load_test.go fails.
 func (cl *cluster) recordActing(host string, c messenger.ShardClaim) {
 	if c.Shard != "a/0" {
 		return
@@ -343,6 +343,7 @@
 		cl.addViolation("written journal cannot be decoded: %v", err)
 	}
 	if last := len(cl.claims) - 1; shard == "a/0" && (last < 0 || cl.claims[last].epoch != j.Epoch) {
+		// MaxInt64: the host has not acted as the owner yet.
 		cl.claims = append(cl.claims, recordedClaim{j.Owner, j.Epoch, sent, math.MaxInt64})
 	}
 	for _, b := range j.Jobs {
--- a/internal/shardowner/ownership.go
+++ b/internal/shardowner/ownership.go
@@ -467,7 +467,7 @@
 	defer o.mutex.Unlock()
 	s.Epoch = o.epoch
 	s.PlacingUntil, s.RunningUntil = o.placingLease.Expiry(), o.runningLease.Expiry()
-	s.Workers, s.WorkersEpochAccepted = o.shard.Workers()
+	s.Workers, s.WorkersThatAcceptedEpoch = o.shard.Workers()
 	s.StoreAvailable = o.shard.StoreAvailable()
 	s.Jobs = make(map[scheduler.JobState]int)
 	for _, j := range o.shard.Jobs() {
--- a/internal/shardowner/ownership_test.go
+++ b/internal/shardowner/ownership_test.go
@@ -18,7 +18,8 @@
 	"peridotpitch/internal/storer"
 )
 
-// startsOf returns how often the job was started or, for "", how many tasks were started.
+// startsOf returns how often the named job was started. For the name "", it returns the number of
+// different tasks that were started.
 func (cl *cluster) startsOf(name string) int {
 	cl.mutex.Lock()
 	defer cl.mutex.Unlock()
@@ -108,10 +109,10 @@
 		for s.startsOf("") == before {
 			time.Sleep(50 * time.Millisecond)
 		}
-		served := time.Since(crashedAt)
-		t.Logf("claimed after %s, a new job started after %s", claimed, served)
+		startedAfter := time.Since(crashedAt)
+		t.Logf("claimed after %s, a new job started after %s", claimed, startedAfter)
 		s.is.True(claimed <= 4500*time.Millisecond)
-		s.is.True(served <= 5*time.Second)
+		s.is.True(startedAfter <= 5*time.Second)
 		time.Sleep(100 * time.Second)
 		s.is.Equal(s.finishedJobs(), 5)
 	})
@@ -172,7 +173,7 @@
 		for s.startsOf(urgent) == 0 {
 			time.Sleep(50 * time.Millisecond)
 		}
-		t.Logf("urgent start after %s, with %d cancellations", time.Since(begin), len(s.jobNames))
+		t.Logf("the urgent job started after %s, during %d cancellations", time.Since(begin), len(s.jobNames))
 		s.is.True(time.Since(begin) < 3*time.Second)
 		time.Sleep(20 * time.Second)
 		s.is.Equal(s.activeTasks("", commander.KindBatch), 0)
@@ -210,7 +211,7 @@
 		is.Equal(cl.activeTasks("", commander.KindService), 4)
 		cl.killHost(owner.name)
 		time.Sleep(15 * time.Second)
-		is.Equal(cl.activeTasks("", commander.KindService), 4) // adopted, not started again
+		is.Equal(cl.activeTasks("", commander.KindService), 4) // taken over by the new owner, not started again
 		is.Equal(cl.startsOf(""), 4+len(slices.DeleteFunc(es, func(e messenger.Endpoint) bool { return e.Worker != leaving })))
 		checkViolations(t, cl)
 	})
@@ -251,7 +252,7 @@
 
 // Guards against service instances whose leases (10 min) end because their owner has crashed
 // while the store is unavailable. Every entry host of the failure domain must renew them.
-func TestOrphanedInstancesAreRenewed(t *testing.T) {
+func TestLeasesOfOrphanedInstancesAreRenewed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := configuration(2, 2, 1)
--- a/internal/shardowner/shardowner.go
+++ b/internal/shardowner/shardowner.go
@@ -53,15 +53,15 @@
 // ShardStatus is the state of a shard according to this host. The fields from Epoch on are
 // set only if this host owns the shard.
 type ShardStatus struct {
-	Shard                string
-	Owner                string
-	Epoch                uint64
-	PlacingUntil         time.Time // end of the lease for placing tasks
-	RunningUntil         time.Time // end of the lease for running tasks
-	Workers              int
-	WorkersEpochAccepted int // workers that have accepted this host's epoch
-	Jobs                 map[scheduler.JobState]int
-	StoreAvailable       bool // whether the last journal write succeeded
+	Shard                    string
+	Owner                    string
+	Epoch                    uint64
+	PlacingUntil             time.Time // end of the lease for placing tasks: the owner may place and start tasks until then
+	RunningUntil             time.Time // end of the lease for running tasks: the owner may keep tasks running until then
+	Workers                  int
+	WorkersThatAcceptedEpoch int // workers that have accepted this host's epoch
+	Jobs                     map[scheduler.JobState]int
+	StoreAvailable           bool // whether the last journal write succeeded
 }
 
 // API lists the methods of an Owner that an entry host calls.
@@ -70,13 +70,14 @@
 	Configure(c *configurator.Configuration)
 	// SetLeaving sets the complete list of leaving workers.
 	SetLeaving(workers []string)
-	// Claims returns the owned shards. The next heartbeat requests promises from the other
-	// hosts not to claim them.
+	// Claims returns the owned shards, which the next heartbeat reports. With the report, this
+	// host requests promises from the other hosts not to claim the shards.
 	Claims() []messenger.ShardClaim
 	// RecordPromises records the promises in an answer to a heartbeat sent at sentAt.
 	RecordPromises(sentAt time.Time, a messenger.HeartbeatAnswer)
 	// AnswerClaims returns the promises that this host can give to the sender of a heartbeat:
-	// not to claim the sender's shards for one TTL.
+	// for the TTL of the requested kind of lease, not to claim the sender's shards
+	// (LeasePlacing) or import their jobs (LeaseRunning).
 	AnswerClaims(h messenger.Heartbeat) []messenger.Promise
 	// HomeShard returns the shard ("domain/shard") that jobs of this name are submitted to.
 	HomeShard(job string) string
@@ -115,12 +116,12 @@
 	// before it claims the shard, so that normally only the first one calls the store.
 	claimDelayPerRank = 300 * time.Millisecond
 	// reportedOwnerMaxAge is how long a host counts as the owner of a shard after a
-	// heartbeat in which it claimed the shard.
+	// heartbeat that reported it as the owner.
 	reportedOwnerMaxAge = 5 * time.Second
 )
 
-// Owner claims shards and runs the ones that this host owns. It is safe for
-// concurrent use.
+// Owner claims shards and runs the ones that this host owns. To claim a shard is to become its
+// owner by a write of the journal. Owner is safe for concurrent use.
 type Owner struct {
 	settings    Settings
 	startedAt   time.Time
@@ -128,15 +129,16 @@
 	group       *errgroup.Group
 	workerCalls chan func(context.Context)
 	closeMutex  sync.Mutex
-	closed      bool // set when stopping: no further goroutine may start
+	stopped     bool // set when the Owner stops: no further goroutine may start
 
 	mutex   sync.Mutex
 	random  *rand.Rand
 	config  *configurator.Configuration
 	leaving map[string]bool
-	// placingSuccessor decides when this host may claim shards of its own failure domain, and
-	// runningSuccessor when it may import jobs of the predecessor domains. Both are nil before
-	// the first configuration.
+	// placingSuccessor holds this host's promises not to claim shards of its own failure
+	// domain, and determines when it may claim them. runningSuccessor does the same for imports
+	// of jobs from the domains whose configured successor is this host's domain. Both are nil
+	// before the first configuration.
 	placingSuccessor *lessor.Successor
 	runningSuccessor *lessor.Successor
 	placingTTL       time.Duration // TTL of the lease for placing tasks
@@ -144,7 +146,7 @@
 	shards           map[string]*ownedShard
 	journals         map[string]*cachedJournal
 	reportedOwners   map[string]reportedOwner
-	stopping         bool // set by Release: no further claims
+	released         bool // set by Release: no further claims
 }
 
 // cachedJournal is the latest version of a shard's journal that this host has read.
@@ -155,7 +157,7 @@
 	claimOrImportInProgress bool // a claim of the shard or an import of its jobs is in progress
 }
 
-// reportedOwner is a host that claimed a shard in a heartbeat.
+// reportedOwner is a host that reported itself as the owner of a shard in a heartbeat.
 type reportedOwner struct {
 	host string
 	at   time.Time
@@ -190,7 +192,7 @@
 	p.background(p.renewOrphanedInstances)
 	return p, func() {
 		p.closeMutex.Lock()
-		p.closed = true
+		p.stopped = true
 		p.closeMutex.Unlock()
 		cancel()
 		_ = group.Wait() // the functions return no error
@@ -201,7 +203,7 @@
 func (p *Owner) background(f func(ctx context.Context)) {
 	p.closeMutex.Lock()
 	defer p.closeMutex.Unlock()
-	if p.closed {
+	if p.stopped {
 		return
 	}
 	p.group.Go(func() error {
@@ -242,7 +244,7 @@
 }
 
 // Configure puts a configuration into effect. The lease TTLs of the first configuration
-// stay in effect until the process restarts: with different TTLs, an owner and its
+// stay in effect until the process restarts: if hosts used different TTLs, an owner and its
 // successor could act on a shard at the same time.
 func (p *Owner) Configure(c *configurator.Configuration) {
 	p.mutex.Lock()
@@ -355,8 +357,9 @@
 	}
 }
 
-// AnswerClaims returns the promises that this host can give to the sender of a heartbeat: not
-// to claim the sender's shards for one TTL.
+// AnswerClaims returns the promises that this host can give to the sender of a heartbeat: for
+// the TTL of the requested kind of lease, not to claim the sender's shards (LeasePlacing) or
+// import their jobs (LeaseRunning).
 func (p *Owner) AnswerClaims(m messenger.Heartbeat) []messenger.Promise {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -455,6 +458,7 @@
 	if o, ok := p.reportedOwners[shard]; ok && time.Since(o.at) < reportedOwnerMaxAge {
 		return o.host
 	}
+	// If the journal names this host, an earlier process of it owned the shard.
 	if k := p.journals[shard]; k != nil && k.journal.Owner != p.settings.Host {
 		return k.journal.Owner
 	}
@@ -554,7 +558,7 @@
 // need not wait for the leases to end. This process claims no shard afterwards.
 func (p *Owner) Release(ctx context.Context) error {
 	p.mutex.Lock()
-	p.stopping = true
+	p.released = true
 	p.mutex.Unlock()
 	for _, o := range p.ownedShards() {
 		o.step(scheduler.ReleaseRequested{})
--- a/pkg/composer/doc.go
+++ b/pkg/composer/doc.go
@@ -1,6 +1,6 @@
 // Package composer is the library with which operators write the configuration of
 // peridotpitch as a Go program: failure domains, hosts, services, job classes, teams and
-// weights. The program prints the text that operators review, sign and apply. The same
+// the weights of tail latency, evictions and batch throughput. The program prints the text that operators review, sign and apply. The same
 // program always prints the same text.
 //
 // Amounts of memory are in bytes (see the constants KB to TB), lengths of time are of type
