--- a/internal/shardowner/fake_test.go
+++ b/internal/shardowner/fake_test.go
@@ -520,28 +520,28 @@
 
 // call runs f at the worker. If only the answer is lost, f takes effect and call returns an
 // error.
-func (t *fakeWorkerClient) call(address netip.AddrPort, f func(*fakeWorker)) error {
-	t.cl.mutex.Lock()
-	d := t.cl.delays["workers"]
-	t.cl.mutex.Unlock()
+func (c *fakeWorkerClient) call(address netip.AddrPort, f func(*fakeWorker)) error {
+	c.cl.mutex.Lock()
+	d := c.cl.delays["workers"]
+	c.cl.mutex.Unlock()
 	time.Sleep(d)
-	t.cl.waitWhilePaused(t.host)
-	t.cl.mutex.Lock()
-	defer t.cl.mutex.Unlock()
-	o := t.cl.workers[address]
-	if o == nil || t.cl.cutLinks[t.host.name+">"+o.name] {
+	c.cl.waitWhilePaused(c.host)
+	c.cl.mutex.Lock()
+	defer c.cl.mutex.Unlock()
+	o := c.cl.workers[address]
+	if o == nil || c.cl.cutLinks[c.host.name+">"+o.name] {
 		return fmt.Errorf("worker %s does not answer", address)
 	}
 	o.endTasks()
 	f(o)
-	if t.cl.cutLinks[o.name+">"+t.host.name] {
+	if c.cl.cutLinks[o.name+">"+c.host.name] {
 		return fmt.Errorf("worker %s does not answer", address)
 	}
 	return nil
 }
 
-func (t *fakeWorkerClient) Fence(_ context.Context, a netip.AddrPort, epoch uint64, _ string) (m commander.FenceAnswer, err error) {
-	err = t.call(a, func(o *fakeWorker) {
+func (c *fakeWorkerClient) Fence(_ context.Context, a netip.AddrPort, epoch uint64, _ string) (m commander.FenceAnswer, err error) {
+	err = c.call(a, func(o *fakeWorker) {
 		m.Accepted = epoch >= o.epoch
 		o.epoch = max(o.epoch, epoch)
 		m.Epoch, m.Report = o.epoch, o.report()
@@ -549,13 +549,13 @@
 	return m, err
 }
 
-func (t *fakeWorkerClient) Report(_ context.Context, a netip.AddrPort) (r commander.Report, err error) {
-	err = t.call(a, func(o *fakeWorker) { r = o.report() })
+func (c *fakeWorkerClient) Report(_ context.Context, a netip.AddrPort) (r commander.Report, err error) {
+	err = c.call(a, func(o *fakeWorker) { r = o.report() })
 	return r, err
 }
 
-func (t *fakeWorkerClient) Apply(_ context.Context, a netip.AddrPort, epoch uint64, _ string, cs []commander.Command) (m commander.ApplyAnswer, err error) {
-	err = t.call(a, func(o *fakeWorker) {
+func (c *fakeWorkerClient) Apply(_ context.Context, a netip.AddrPort, epoch uint64, _ string, cs []commander.Command) (m commander.ApplyAnswer, err error) {
+	err = c.call(a, func(o *fakeWorker) {
 		m.Accepted = epoch >= o.epoch
 		o.epoch = max(o.epoch, epoch)
 		m.Epoch = o.epoch
--- a/internal/shardowner/ownership_test.go
+++ b/internal/shardowner/ownership_test.go
@@ -102,7 +102,7 @@
 		for p.Owner("a/0") != s.standby {
 			time.Sleep(50 * time.Millisecond)
 		}
-		claimed := time.Since(crashedAt)
+		claimedAfter := time.Since(crashedAt)
 		s.owner = s.standby
 		before := s.startsOf("")
 		s.submitHome(1, time.Second)
@@ -110,8 +110,8 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		startedAfter := time.Since(crashedAt)
-		t.Logf("claimed after %s, a new job started after %s", claimed, startedAfter)
-		s.is.True(claimed <= 4500*time.Millisecond)
+		t.Logf("claimed after %s, a new job started after %s", claimedAfter, startedAfter)
+		s.is.True(claimedAfter <= 4500*time.Millisecond)
 		s.is.True(startedAfter <= 5*time.Second)
 		time.Sleep(100 * time.Second)
 		s.is.Equal(s.finishedJobs(), 5)
