--- a/internal/commandline/run.go
+++ b/internal/commandline/run.go
@@ -34,7 +34,9 @@
 // subcommand serve has read.
 type ServeFunc func(ctx context.Context, s loader.Settings) error
 
-// EntryFunc runs an entry host of packages coordinator and platform until ctx ends. path is the path of the settings file, which has the platform's format.
+// EntryFunc runs an entry host of package coordinator, which works with the store, workers and
+// callers of the operators' site through package platform, until ctx ends. path is the path of
+// the settings file, which has the format that package platform reads.
 type EntryFunc func(ctx context.Context, path string) error
 
 // Environment contains the streams, variables and functions that the process provides to a
--- a/internal/coordinator/election.go
+++ b/internal/coordinator/election.go
@@ -84,8 +84,8 @@
 }
 
 // headObservation is the last revision of head that a host read after the leader failed a
-// check, and the time of the first read of that revision. The revision
-// is 0 if head does not exist. The zero value means that head was not read.
+// check, and the time of the first read of that revision. The revision is 0 if head does
+// not exist. The zero value means that head was not read.
 type headObservation struct {
 	revision uint64
 	since    time.Time
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -26,7 +26,7 @@
 	KindMove          Kind = "move"       // no decision has this kind at present
 	KindStop          Kind = "stop"       // no decision has this kind at present
 	KindRefuse        Kind = "refuse"     // a request ends unsent, a worker refuses a start, or a worker refuses an owner whose epoch is too low
-	KindRetry         Kind = "retry"      // a job becomes pending again after a lost or ended run, or whether a failed request is retried is decided
+	KindRetry         Kind = "retry"      // a job becomes pending again after a lost or ended run, or a failed attempt of a request is or is not retried
 	KindRoute         Kind = "route"      // a request is sent to a service instance
 	KindClaim         Kind = "claim"      // the owner of a shard changes, or its jobs are imported
 	KindAdopt         Kind = "adopt"      // a worker accepts the owner's epoch, or a task started by an earlier owner is found
